--- a/crates/core/src/accounting/mod.rs
+++ b/crates/core/src/accounting/mod.rs
@@ -31,7 +31,7 @@
 
 /// Whether the work of an attempt served its request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Worth {
+pub enum WorkOutcome {
     /// The result went into an answer that was on time.
     Used,
     /// The attempt failed or was abandoned, or the answer was late.
@@ -55,7 +55,7 @@
 
 /// How a request ended for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum RequestEnd {
+pub enum RequestOutcome {
     /// The whole answer was given before the deadline.
     OnTime,
     /// The whole answer was given after the deadline.
@@ -86,7 +86,7 @@
     }
 
     /// Returns the part of the accepted requests that were answered on time.
-    pub fn on_time_part(&self) -> f64 {
+    pub fn on_time_fraction(&self) -> f64 {
         match self.accepted() {
             0 => 1.0,
             accepted => self.on_time as f64 / accepted as f64,
@@ -108,7 +108,7 @@
     }
 
     /// Counts an attempt that ran, once the worth of its work is known.
-    pub fn on_attempt(&mut self, label: &StageLabel, usage: Usage, worth: Worth) {
+    pub fn on_attempt(&mut self, label: &StageLabel, usage: Usage, worth: WorkOutcome) {
         if !self.stages.contains_key(label) {
             self.stages.insert(label.clone(), StageCost::default());
         }
@@ -117,22 +117,22 @@
         cost.engine_ms += usage.engine_ms;
         cost.tokens += usage.tokens;
         cost.queued_ms += usage.queued_ms;
-        if worth == Worth::Wasted {
+        if worth == WorkOutcome::Wasted {
             cost.wasted_ms += usage.engine_ms;
         }
     }
 
     /// Counts the end of a request.
-    pub fn on_request(&mut self, label: &RequestLabel, end: RequestEnd) {
+    pub fn on_request(&mut self, label: &RequestLabel, end: RequestOutcome) {
         if !self.requests.contains_key(label) {
             self.requests.insert(label.clone(), Attainment::default());
         }
         let Some(attainment) = self.requests.get_mut(label) else { return };
         match end {
-            RequestEnd::OnTime => attainment.on_time += 1,
-            RequestEnd::Late => attainment.late += 1,
-            RequestEnd::Failed(reason) => *attainment.failed.entry(reason).or_default() += 1,
-            RequestEnd::Refused(reason) => *attainment.refused.entry(reason).or_default() += 1,
+            RequestOutcome::OnTime => attainment.on_time += 1,
+            RequestOutcome::Late => attainment.late += 1,
+            RequestOutcome::Failed(reason) => *attainment.failed.entry(reason).or_default() += 1,
+            RequestOutcome::Refused(reason) => *attainment.refused.entry(reason).or_default() += 1,
         }
     }
 
--- a/crates/entry/src/caller/routes.rs
+++ b/crates/entry/src/caller/routes.rs
@@ -8,7 +8,7 @@
 use log::info;
 use tokio::sync::{mpsc, oneshot};
 use yuccatrail_core::{
-    accounting::{RequestEnd, RequestLabel},
+    accounting::{RequestLabel, RequestOutcome},
     deadline::effective_deadline_ms,
     document::{Document, Limits, Pipeline},
     ids::RequestId,
@@ -156,12 +156,12 @@
     let label =
         RequestLabel { pipeline: context.target.clone(), customer: context.customer.clone() };
     let end = match refusal {
-        None if entry.clock.now_ms() <= context.deadline_ms => RequestEnd::OnTime,
-        None => RequestEnd::Late,
+        None if entry.clock.now_ms() <= context.deadline_ms => RequestOutcome::OnTime,
+        None => RequestOutcome::Late,
         Some(refusal) if refusal.execution == Execution::NotRun => {
-            RequestEnd::Refused(refusal.reason)
+            RequestOutcome::Refused(refusal.reason)
         }
-        Some(refusal) => RequestEnd::Failed(refusal.reason),
+        Some(refusal) => RequestOutcome::Failed(refusal.reason),
     };
     entry.metrics.on_request(&label, end);
 }
--- a/crates/entry/src/metrics.rs
+++ b/crates/entry/src/metrics.rs
@@ -9,7 +9,9 @@
     registry::Registry,
 };
 use yuccatrail_core::{
-    accounting::{Attainment, CostLedger, RequestEnd, RequestLabel, StageCost, StageLabel, Worth},
+    accounting::{
+        Attainment, CostLedger, RequestLabel, RequestOutcome, StageCost, StageLabel, WorkOutcome,
+    },
     outcome::Usage,
 };
 use yuccatrail_platform::Client;
@@ -53,12 +55,12 @@
     }
 
     /// Counts an attempt that ran.
-    pub(crate) fn on_attempt(&self, label: &StageLabel, usage: Usage, worth: Worth) {
+    pub(crate) fn on_attempt(&self, label: &StageLabel, usage: Usage, worth: WorkOutcome) {
         lock(&self.ledger).on_attempt(label, usage, worth);
     }
 
     /// Counts the end of a request.
-    pub(crate) fn on_request(&self, label: &RequestLabel, end: RequestEnd) {
+    pub(crate) fn on_request(&self, label: &RequestLabel, end: RequestOutcome) {
         lock(&self.ledger).on_request(label, end);
     }
 
--- a/crates/entry/src/run/pipeline.rs
+++ b/crates/entry/src/run/pipeline.rs
@@ -7,7 +7,7 @@
 
 use rustc_hash::FxHasher;
 use yuccatrail_core::{
-    accounting::{StageLabel, Worth},
+    accounting::{StageLabel, WorkOutcome},
     document::{Document, Pipeline, PoolKind},
     ids::StageIndex,
     outcome::{Execution, Reason, Refusal, Usage},
@@ -70,20 +70,20 @@
         let output = match result {
             Ok(output) => output,
             Err(refusal) => {
-                account(entry, request, &usage, Worth::Wasted);
+                account(entry, request, &usage, WorkOutcome::Wasted);
                 return Err(after_stages(refusal, index));
             }
         };
         usage.push(output.completion.usage);
         let accepted = stage_call::absorb(demand.pool, &output.chunks, &mut data);
         if accepted.is_err() || output.completion.status >= 400 {
-            account(entry, request, &usage, Worth::Wasted);
+            account(entry, request, &usage, WorkOutcome::Wasted);
             let execution = Execution::Failed;
             return Err(Refusal { reason: Reason::UpstreamError, execution, retry_after_ms: 0 });
         }
     }
     let on_time = entry.clock.now_ms() <= request.deadline_ms;
-    account(entry, request, &usage, if on_time { Worth::Used } else { Worth::Wasted });
+    account(entry, request, &usage, if on_time { WorkOutcome::Used } else { WorkOutcome::Wasted });
     Ok(PipelineAnswer { data, usage })
 }
 
@@ -103,7 +103,7 @@
     Ok(demands)
 }
 
-fn account(entry: &Entry, request: &RequestContext, usage: &[Usage], worth: Worth) {
+fn account(entry: &Entry, request: &RequestContext, usage: &[Usage], worth: WorkOutcome) {
     for (index, usage) in usage.iter().enumerate() {
         let label = StageLabel {
             pipeline: request.target.clone(),
--- a/crates/entry/src/run/service.rs
+++ b/crates/entry/src/run/service.rs
@@ -3,7 +3,7 @@
 use std::sync::Arc;
 
 use yuccatrail_core::{
-    accounting::{StageLabel, Worth},
+    accounting::{StageLabel, WorkOutcome},
     document::{Document, Service},
     ids::StageIndex,
     outcome::{Reason, Refusal},
@@ -64,6 +64,6 @@
         stage: StageIndex(0),
     };
     let on_time = entry.clock.now_ms() <= request.deadline_ms;
-    let worth = if on_time { Worth::Used } else { Worth::Wasted };
+    let worth = if on_time { WorkOutcome::Used } else { WorkOutcome::Wasted };
     entry.metrics.on_attempt(&label, output.completion.usage, worth);
 }
--- a/crates/entry/src/run/stage.rs
+++ b/crates/entry/src/run/stage.rs
@@ -5,7 +5,7 @@
 use futures::future::{Either, select};
 use log::info;
 use yuccatrail_core::{
-    accounting::{StageLabel, Worth},
+    accounting::{StageLabel, WorkOutcome},
     hedge::{HedgeDecision, HedgeQuery, decide},
     ids::{AttemptId, StageIndex},
     membership::UpstreamKey,
@@ -358,7 +358,7 @@
         customer: request.customer.clone(),
         stage: work.index,
     };
-    entry.metrics.on_attempt(&label, usage, Worth::Wasted);
+    entry.metrics.on_attempt(&label, usage, WorkOutcome::Wasted);
 }
 
 /// Returns the first complete output of two attempts, or the failure of both.
--- a/crates/fakes/src/model/sim/requests.rs
+++ b/crates/fakes/src/model/sim/requests.rs
@@ -1,7 +1,7 @@
 //! Course of a request at its entry.
 
 use yuccatrail_core::{
-    accounting::{StageLabel, Worth},
+    accounting::{StageLabel, WorkOutcome},
     hedge::{HedgeDecision, HedgeQuery},
     ids::StageIndex,
     outcome::{Reason, Usage},
@@ -254,7 +254,7 @@
             customer: self.fleet.customers[request.customer].name.to_owned(),
             stage: StageIndex(stage as u8),
         };
-        let worth = if used { Worth::Used } else { Worth::Wasted };
+        let worth = if used { WorkOutcome::Used } else { WorkOutcome::Wasted };
         self.ledger.on_attempt(&label, usage, worth);
     }
 }
