--- a/crates/core/src/at_most_once/action.rs
+++ b/crates/core/src/at_most_once/action.rs
@@ -1,7 +1,7 @@
 //! Events and actions of a claim flow.
 
 use crate::{
-    at_most_once::{CallAnswer, ClaimName, ClaimRecord},
+    at_most_once::{CallResponse, ClaimName, ClaimRecord},
     outcome::{Reason, Refusal},
     sabotage::{Mechanisms, Sabotage},
 };
@@ -65,7 +65,7 @@
         try_again: bool,
     },
     /// The upstream answered.
-    Answered(CallAnswer),
+    Completed(CallResponse),
     /// The upstream reported a failure.
     Failed {
         /// Why the call did not complete.
@@ -112,7 +112,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimReply {
     /// The call ran, now or for an earlier copy.
-    Answer(CallAnswer),
+    Response(CallResponse),
     /// The call was not answered by an upstream.
     Refused(Refusal),
     /// The key belongs to a different call; this one was not run and will not be under this key.
--- a/crates/core/src/at_most_once/flow.rs
+++ b/crates/core/src/at_most_once/flow.rs
@@ -232,7 +232,7 @@
                 };
                 self.refuse_and_finish(Reason::KeyClaimed, execution)
             }
-            ClaimState::Done(answer) => self.reply_and_finish(ClaimReply::Answer(answer)),
+            ClaimState::Done(answer) => self.reply_and_finish(ClaimReply::Response(answer)),
             ClaimState::Failed { reason } => self.refuse_and_finish(reason, Execution::Failed),
             ClaimState::Unknown { reason } => self.refuse_and_finish(reason, Execution::Unknown),
         }
@@ -286,9 +286,9 @@
                 let refusal = Refusal::not_run(reason, retry_after_ms);
                 self.settle(ClaimReply::Refused(refusal), ClaimState::NotRun)
             }
-            DispatchResult::Answered(answer) => {
+            DispatchResult::Completed(answer) => {
                 let state = ClaimState::Done(answer.recorded());
-                self.settle(ClaimReply::Answer(answer), state)
+                self.settle(ClaimReply::Response(answer), state)
             }
             DispatchResult::Failed { reason } => {
                 self.settle(refused(reason, Execution::Failed), ClaimState::Failed { reason })
--- a/crates/core/src/at_most_once/mod.rs
+++ b/crates/core/src/at_most_once/mod.rs
@@ -50,7 +50,9 @@
 pub use self::{
     action::{ClaimAction, ClaimEvent, ClaimReply, DispatchPermission, DispatchResult},
     flow::{ClaimFlow, ClaimRequest},
-    record::{AnswerBody, CallAnswer, ClaimName, ClaimRecord, ClaimState, ClaimToken, claim_name},
+    record::{
+        CallResponse, ClaimName, ClaimRecord, ClaimState, ClaimToken, RecordedBody, claim_name,
+    },
 };
 
 #[cfg(test)]
--- a/crates/core/src/at_most_once/record.rs
+++ b/crates/core/src/at_most_once/record.rs
@@ -48,7 +48,7 @@
     /// The holder has not run the call and never will; the claim may be taken over.
     NotRun,
     /// The call ran and was answered.
-    Done(CallAnswer),
+    Done(CallResponse),
     /// The call reached an upstream, which reported a failure.
     Failed {
         /// Why the call did not complete.
@@ -63,19 +63,19 @@
 
 /// Answer of an upstream to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct CallAnswer {
+pub struct CallResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type of the body.
     pub content_type: Option<String>,
     /// Body of the answer.
-    pub body: AnswerBody,
+    pub body: RecordedBody,
 }
 
 /// Body of a recorded answer.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "BodyText", try_from = "BodyText")]
-pub enum AnswerBody {
+pub enum RecordedBody {
     /// The whole body.
     Whole(Bytes),
     /// The body was too large for the claim.
@@ -87,7 +87,7 @@
     },
 }
 
-/// JSON form of an [`AnswerBody`].
+/// JSON form of an [`RecordedBody`].
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum BodyText {
@@ -111,12 +111,12 @@
     ClaimName(format!("claim-{}", Digest::of(&input)))
 }
 
-impl CallAnswer {
+impl CallResponse {
     /// Returns the answer as it is recorded, without a body that is too large for the claim.
     pub(crate) fn recorded(&self) -> Self {
         let body = match &self.body {
-            AnswerBody::Whole(body) if body.len() > MAX_RECORDED_BODY_BYTES => {
-                AnswerBody::Omitted { digest: Digest::of(body), length_bytes: body.len() as u64 }
+            RecordedBody::Whole(body) if body.len() > MAX_RECORDED_BODY_BYTES => {
+                RecordedBody::Omitted { digest: Digest::of(body), length_bytes: body.len() as u64 }
             }
             body => body.clone(),
         };
@@ -124,19 +124,21 @@
     }
 }
 
-impl From<AnswerBody> for BodyText {
-    fn from(body: AnswerBody) -> Self {
+impl From<RecordedBody> for BodyText {
+    fn from(body: RecordedBody) -> Self {
         match body {
-            AnswerBody::Whole(bytes) => match std::str::from_utf8(&bytes) {
+            RecordedBody::Whole(bytes) => match std::str::from_utf8(&bytes) {
                 Ok(text) => Self::Text(text.to_owned()),
                 Err(_) => Self::Hex(hex::encode(&bytes)),
             },
-            AnswerBody::Omitted { digest, length_bytes } => Self::Omitted { digest, length_bytes },
+            RecordedBody::Omitted { digest, length_bytes } => {
+                Self::Omitted { digest, length_bytes }
+            }
         }
     }
 }
 
-impl TryFrom<BodyText> for AnswerBody {
+impl TryFrom<BodyText> for RecordedBody {
     type Error = &'static str;
 
     fn try_from(body: BodyText) -> Result<Self, Self::Error> {
--- a/crates/core/src/at_most_once/tests.rs
+++ b/crates/core/src/at_most_once/tests.rs
@@ -35,11 +35,11 @@
     }
 }
 
-fn answer(body: &'static [u8]) -> CallAnswer {
-    CallAnswer {
+fn answer(body: &'static [u8]) -> CallResponse {
+    CallResponse {
         status: 200,
         content_type: None,
-        body: AnswerBody::Whole(Bytes::from_static(body)),
+        body: RecordedBody::Whole(Bytes::from_static(body)),
     }
 }
 
@@ -85,11 +85,11 @@
     let mut flow = started(request(1));
     let permission = permission(flow.handle(ClaimEvent::Written { version: 1 }, 1));
     assert_eq!(permission.redeem(DISPATCH_BY_MS), Some(DISPATCH_BY_MS));
-    let result = DispatchResult::Answered(answer(b"ok"));
+    let result = DispatchResult::Completed(answer(b"ok"));
     let done = record(1, ClaimState::Done(answer(b"ok")));
     assert_eq!(
         flow.handle(ClaimEvent::Dispatch { number: 1, result }, 5),
-        vec![ClaimAction::Reply(ClaimReply::Answer(answer(b"ok"))), update(done, 1)],
+        vec![ClaimAction::Reply(ClaimReply::Response(answer(b"ok"))), update(done, 1)],
     );
     flow.handle(ClaimEvent::Written { version: 2 }, 6);
     assert!(flow.is_finished());
@@ -115,7 +115,7 @@
 fn a_claim_of_another_yields_its_outcome() {
     let reason = Reason::UpstreamError;
     let cases = [
-        (ClaimState::Done(answer(b"a")), ClaimAction::Reply(ClaimReply::Answer(answer(b"a")))),
+        (ClaimState::Done(answer(b"a")), ClaimAction::Reply(ClaimReply::Response(answer(b"a")))),
         (ClaimState::Failed { reason }, refused(reason, Execution::Failed)),
         (ClaimState::Unknown { reason }, refused(reason, Execution::Unknown)),
     ];
@@ -221,7 +221,7 @@
 #[test]
 fn records_survive_json() {
     let large = Bytes::from(vec![0; record::MAX_RECORDED_BODY_BYTES + 1]);
-    let large = CallAnswer { body: AnswerBody::Whole(large), ..answer(b"") };
+    let large = CallResponse { body: RecordedBody::Whole(large), ..answer(b"") };
     for answer in [answer(b"text \xc3\xb1"), answer(b"\xff\x00"), large.recorded()] {
         let record = record(u128::MAX, ClaimState::Done(answer));
         let json = serde_json::to_string(&record).unwrap();
@@ -233,7 +233,7 @@
 #[test]
 fn the_largest_record_fits_the_platform() {
     let body = Bytes::from(vec![0; record::MAX_RECORDED_BODY_BYTES]);
-    let answer = CallAnswer { body: AnswerBody::Whole(body), ..answer(b"") };
+    let answer = CallResponse { body: RecordedBody::Whole(body), ..answer(b"") };
     let record = record(1, ClaimState::Done(answer.recorded()));
     assert!(serde_json::to_string(&record).unwrap().len() < 1_000_000);
 }
--- a/crates/core/tests/at_most_once_fuzz.rs
+++ b/crates/core/tests/at_most_once_fuzz.rs
@@ -7,8 +7,8 @@
 use proptest_state_machine::ReferenceStateMachine;
 use yuccatrail_core::{
     at_most_once::{
-        AnswerBody, CallAnswer, ClaimAction, ClaimEvent, ClaimFlow, ClaimRecord, ClaimReply,
-        ClaimRequest, ClaimState, ClaimToken, DispatchPermission, DispatchResult, claim_name,
+        CallResponse, ClaimAction, ClaimEvent, ClaimFlow, ClaimRecord, ClaimReply, ClaimRequest,
+        ClaimState, ClaimToken, DispatchPermission, DispatchResult, RecordedBody, claim_name,
     },
     ids::{Digest, Incarnation},
     outcome::{Execution, Reason},
@@ -135,9 +135,9 @@
     ran_other_body: bool,
 }
 
-fn answer() -> CallAnswer {
-    let body = AnswerBody::Whole(Bytes::from_static(b"booked"));
-    CallAnswer { status: 201, content_type: None, body }
+fn answer() -> CallResponse {
+    let body = RecordedBody::Whole(Bytes::from_static(b"booked"));
+    CallResponse { status: 201, content_type: None, body }
 }
 
 fn not_run(number: u16, try_again: bool) -> ClaimEvent {
@@ -302,7 +302,7 @@
         let number = attempt.number;
         let reason = Reason::UpstreamError;
         let result = match (report, attempt.state) {
-            (Report::Answered, AttemptState::Ran) => DispatchResult::Answered(answer()),
+            (Report::Answered, AttemptState::Ran) => DispatchResult::Completed(answer()),
             (Report::Failed, AttemptState::Ran) => DispatchResult::Failed { reason },
             (Report::Lost, _) => DispatchResult::Lost { reason },
             (Report::NotRun { try_again }, AttemptState::Queued) => {
@@ -323,7 +323,7 @@
         let other_body = self.copies[copy].other_body;
         let ran = self.runs == 1 && self.ran_other_body == other_body;
         let is_true = match &reply {
-            ClaimReply::Answer(given) => ran && *given == answer(),
+            ClaimReply::Response(given) => ran && *given == answer(),
             ClaimReply::KeyReused => self.copies.iter().any(|it| it.other_body != other_body),
             ClaimReply::Refused(refusal) => match refusal.execution {
                 Execution::NotRun => self.runs == 0,
--- a/crates/entry/src/caller/service.rs
+++ b/crates/entry/src/caller/service.rs
@@ -5,7 +5,7 @@
 use bytes::Bytes;
 use hyper::{Request, Response, StatusCode, body::Incoming, header};
 use yuccatrail_core::{
-    at_most_once::{AnswerBody, CallAnswer, ClaimReply},
+    at_most_once::{CallResponse, ClaimReply, RecordedBody},
     document::{Document, Service},
     ids::Digest,
 };
@@ -83,7 +83,7 @@
     let context = call.request.clone();
     let reply = claim::run(entry, call).await;
     let refusal = match reply {
-        Ok(ClaimReply::Answer(answer)) => {
+        Ok(ClaimReply::Response(answer)) => {
             routes::count(entry, &context, None);
             return Ok(recorded(answer));
         }
@@ -135,10 +135,10 @@
     respond(completion.status, completion.content_type, output.chunks.concat().into())
 }
 
-fn recorded(answer: CallAnswer) -> Response<Body> {
+fn recorded(answer: CallResponse) -> Response<Body> {
     match answer.body {
-        AnswerBody::Whole(body) => respond(answer.status, answer.content_type, body),
-        AnswerBody::Omitted { length_bytes, .. } => {
+        RecordedBody::Whole(body) => respond(answer.status, answer.content_type, body),
+        RecordedBody::Omitted { length_bytes, .. } => {
             let mut response = respond(answer.status, None, Bytes::new());
             response.headers_mut().insert(BODY_OMITTED, length_bytes.into());
             response
--- a/crates/entry/src/run/claim.rs
+++ b/crates/entry/src/run/claim.rs
@@ -11,8 +11,8 @@
 use tokio::sync::oneshot;
 use yuccatrail_core::{
     at_most_once::{
-        AnswerBody, CallAnswer, ClaimAction, ClaimEvent, ClaimFlow, ClaimName, ClaimRecord,
-        ClaimReply, ClaimRequest, ClaimToken, DispatchPermission, DispatchResult, claim_name,
+        CallResponse, ClaimAction, ClaimEvent, ClaimFlow, ClaimName, ClaimRecord, ClaimReply,
+        ClaimRequest, ClaimToken, DispatchPermission, DispatchResult, RecordedBody, claim_name,
     },
     document::{Document, Service},
     membership::UpstreamKey,
@@ -232,7 +232,7 @@
         let result = match self.dispatch_once(permission, &mut tried).await {
             Ok(output) => {
                 service::account(&self.entry, &self.call.request, &output);
-                DispatchResult::Answered(answer(output))
+                DispatchResult::Completed(answer(output))
             }
             Err(failure) => dispatch_failure(failure),
         };
@@ -298,10 +298,10 @@
     }
 }
 
-fn answer(output: Output) -> CallAnswer {
-    CallAnswer {
+fn answer(output: Output) -> CallResponse {
+    CallResponse {
         status: output.completion.status,
         content_type: output.completion.content_type,
-        body: AnswerBody::Whole(output.chunks.concat().into()),
+        body: RecordedBody::Whole(output.chunks.concat().into()),
     }
 }
