--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -113,8 +113,8 @@
     }
 
     /// Returns the key of a customer and takes over its current share.
-    pub fn customer(&mut self, name: &str, share: u32) -> CustomerKey {
-        self.fairness.customer(name, share)
+    pub fn register_customer(&mut self, name: &str, share: u32) -> CustomerKey {
+        self.fairness.register_customer(name, share)
     }
 
     /// Takes over the declared pipelines.
@@ -158,7 +158,8 @@
             }
             let run_ms = estimates.expected_ms(stage.pool, stage.max_tokens);
             need.run_ms += run_ms + STAGE_OVERHEAD_MS;
-            need.safe_ms += estimates.safe_ms(stage.pool, stage.max_tokens) + STAGE_OVERHEAD_MS;
+            need.safe_ms +=
+                estimates.conservative_ms(stage.pool, stage.max_tokens) + STAGE_OVERHEAD_MS;
             need.wait_ms += self.wait_ms(stage, run_ms);
             if let Some(&slack_ms) = self.least_slack_ms.get(&stage.pool) {
                 need.bearable_wait_ms = need.bearable_wait_ms.min(slack_ms);
--- a/crates/core/src/admission/tests.rs
+++ b/crates/core/src/admission/tests.rs
@@ -1,5 +1,5 @@
 use super::*;
-use crate::deadline::EstimateSeed;
+use crate::deadline::DeclaredEstimate;
 
 struct Entry {
     admission: Admission,
@@ -9,8 +9,8 @@
 
 fn entry() -> Entry {
     let mut estimates = StageEstimates::new();
-    let seed = EstimateSeed { estimate_ms: 100, token_estimate_ms: 0 };
-    let pool = estimates.pool("rerank", seed);
+    let seed = DeclaredEstimate { estimate_ms: 100, token_estimate_ms: 0 };
+    let pool = estimates.register_pool("rerank", seed);
     Entry { admission: Admission::new(), estimates, pool }
 }
 
@@ -25,7 +25,7 @@
 #[test]
 fn idle_pool_admits_with_a_plan() {
     let mut entry = entry();
-    let customer = entry.admission.customer("a", 1);
+    let customer = entry.admission.register_customer("a", 1);
     let admitted = entry.admit(customer, 0).unwrap();
     assert_eq!(admitted.plan.stages.len(), 2);
     assert_eq!(entry.admission.in_progress(), 1);
@@ -36,7 +36,7 @@
 #[test]
 fn backlog_that_does_not_fit_is_refused_at_once_with_its_drain_time() {
     let mut entry = entry();
-    let customer = entry.admission.customer("a", 1);
+    let customer = entry.admission.register_customer("a", 1);
     let refusal = entry.admit(customer, 100).unwrap_err();
     assert_eq!(refusal.reason, Reason::DeadlineUnreachable);
     let longer = entry.admit(customer, 200).unwrap_err();
@@ -46,7 +46,7 @@
 #[test]
 fn too_short_deadline_is_refused_by_an_idle_pool() {
     let mut entry = entry();
-    let customer = entry.admission.customer("a", 1);
+    let customer = entry.admission.register_customer("a", 1);
     let load = PoolLoad { upstreams: 1, outstanding: 0, own: 0, limit: 1 };
     let stage = StageWork { pool: entry.pool, max_tokens: 0, load };
     let refusal = entry.admission.admit(0, &entry.estimates, customer, 99, &[stage]).unwrap_err();
@@ -56,7 +56,7 @@
 #[test]
 fn pool_without_upstreams_is_refused() {
     let mut entry = entry();
-    let customer = entry.admission.customer("a", 1);
+    let customer = entry.admission.register_customer("a", 1);
     let stage = StageWork { pool: entry.pool, max_tokens: 0, load: PoolLoad::default() };
     let refusal =
         entry.admission.admit(0, &entry.estimates, customer, 1_000, &[stage]).unwrap_err();
@@ -66,7 +66,7 @@
 #[test]
 fn admitted_requests_count_until_their_stages_are_sent() {
     let mut entry = entry();
-    let customer = entry.admission.customer("a", 1);
+    let customer = entry.admission.register_customer("a", 1);
     let mut admitted = Vec::new();
     while let Ok(request) = entry.admit(customer, 0) {
         admitted.push(request.key);
@@ -82,8 +82,8 @@
 #[test]
 fn customer_above_its_share_is_refused_before_the_others() {
     let mut entry = entry();
-    let large = entry.admission.customer("large", 1);
-    let small = entry.admission.customer("small", 1);
+    let large = entry.admission.register_customer("large", 1);
+    let small = entry.admission.register_customer("small", 1);
     entry.admit(small, 0).unwrap();
     for _ in 0..5 {
         let admitted = entry.admit(large, 0).unwrap();
@@ -97,7 +97,7 @@
 #[test]
 fn long_deadlines_do_not_shut_out_short_ones() {
     let mut entry = entry();
-    let customer = entry.admission.customer("a", 1);
+    let customer = entry.admission.register_customer("a", 1);
     let load = PoolLoad { upstreams: 2, outstanding: 40, own: 40, limit: 10 };
     let stage = StageWork { pool: entry.pool, max_tokens: 0, load };
     let long_ms = 60_000;
--- a/crates/core/src/deadline/estimates.rs
+++ b/crates/core/src/deadline/estimates.rs
@@ -23,7 +23,7 @@
 
 /// Estimates that the environment document declares for a pool.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct EstimateSeed {
+pub struct DeclaredEstimate {
     /// Expected time of a call apart from its tokens, in milliseconds.
     pub estimate_ms: u64,
     /// Expected time of one generated token, in milliseconds.
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Copy, Debug)]
 struct Estimate {
-    seed: EstimateSeed,
+    seed: DeclaredEstimate,
     call_ms: f64,
     token_ms: f64,
     /// Part of the allowed tokens that calls use.
@@ -45,7 +45,7 @@
 }
 
 impl Estimate {
-    fn new(seed: EstimateSeed) -> Self {
+    fn new(seed: DeclaredEstimate) -> Self {
         Self {
             seed,
             call_ms: seed.estimate_ms.max(1) as f64,
@@ -86,7 +86,7 @@
     }
 
     /// Returns the key of a pool; a changed seed starts its estimates anew.
-    pub fn pool(&mut self, name: &str, seed: EstimateSeed) -> PoolKey {
+    pub fn register_pool(&mut self, name: &str, seed: DeclaredEstimate) -> PoolKey {
         if let Some(&key) = self.keys_by_name.get(name) {
             if self.pools[key].seed != seed {
                 self.pools[key] = Estimate::new(seed);
@@ -106,14 +106,14 @@
     }
 
     /// Returns a time at the upstream that most calls limited to `max_tokens` don't exceed.
-    pub fn safe_ms(&self, pool: PoolKey, max_tokens: u32) -> u64 {
+    pub fn conservative_ms(&self, pool: PoolKey, max_tokens: u32) -> u64 {
         let estimate = &self.pools[pool];
         let factor = 1.0 + SAFE_DEVIATIONS * estimate.deviation;
         (self.expected_ms(pool, max_tokens) as f64 * factor).ceil() as u64
     }
 
     /// Returns the average time that recent calls waited in the agent.
-    pub fn queue_ms(&self, pool: PoolKey) -> u64 {
+    pub fn mean_queued_ms(&self, pool: PoolKey) -> u64 {
         self.pools[pool].queue_ms as u64
     }
 
@@ -142,7 +142,7 @@
     ///
     /// Estimates that grew while a pool was slow could otherwise refuse every request, so that no
     /// call would ever correct them.
-    pub fn relax(&mut self) {
+    pub fn decay_stale(&mut self) {
         for estimate in self.pools.values_mut() {
             if !estimate.is_fresh {
                 estimate.relax();
--- a/crates/core/src/deadline/mod.rs
+++ b/crates/core/src/deadline/mod.rs
@@ -6,7 +6,7 @@
 mod tests;
 
 pub use crate::deadline::{
-    estimates::{EstimateSeed, PoolKey, StageEstimates},
+    estimates::{DeclaredEstimate, PoolKey, StageEstimates},
     plan::{Plan, StagePlan},
 };
 
--- a/crates/core/src/deadline/tests.rs
+++ b/crates/core/src/deadline/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use crate::outcome::Usage;
 
-const SEED: EstimateSeed = EstimateSeed { estimate_ms: 100, token_estimate_ms: 10 };
+const SEED: DeclaredEstimate = DeclaredEstimate { estimate_ms: 100, token_estimate_ms: 10 };
 
 #[test]
 fn header_only_shortens_the_deadline() {
@@ -26,7 +26,7 @@
 #[test]
 fn estimates_start_at_the_seed_and_follow_completions() {
     let mut estimates = StageEstimates::new();
-    let pool = estimates.pool("generate", SEED);
+    let pool = estimates.register_pool("generate", SEED);
     assert_eq!(estimates.expected_ms(pool, 40), 500);
 
     let usage = Usage { engine_ms: 600, queued_ms: 30, tokens: 20 };
@@ -34,22 +34,22 @@
         estimates.on_complete(pool, 40, usage);
     }
     assert!(estimates.expected_ms(pool, 40).abs_diff(600) <= 5);
-    assert!(estimates.safe_ms(pool, 40) >= estimates.expected_ms(pool, 40));
-    assert!(estimates.queue_ms(pool).abs_diff(30) <= 1);
-    assert_eq!(estimates.pool("generate", SEED), pool);
+    assert!(estimates.conservative_ms(pool, 40) >= estimates.expected_ms(pool, 40));
+    assert!(estimates.mean_queued_ms(pool).abs_diff(30) <= 1);
+    assert_eq!(estimates.register_pool("generate", SEED), pool);
 }
 
 #[test]
 fn estimates_without_completions_return_to_the_seed() {
     let mut estimates = StageEstimates::new();
-    let pool = estimates.pool("generate", SEED);
+    let pool = estimates.register_pool("generate", SEED);
     for _ in 0..400 {
         estimates.on_complete(pool, 40, Usage { engine_ms: 60_000, queued_ms: 0, tokens: 40 });
     }
-    estimates.relax();
+    estimates.decay_stale();
     assert!(estimates.expected_ms(pool, 40) > 50_000);
     for _ in 0..100 {
-        estimates.relax();
+        estimates.decay_stale();
     }
     assert!(estimates.expected_ms(pool, 40).abs_diff(500) <= 10);
 }
--- a/crates/core/tests/admission_fuzz.rs
+++ b/crates/core/tests/admission_fuzz.rs
@@ -7,7 +7,7 @@
 use yuccatrail_core::{
     admission::{Admission, StageWork},
     attempt::RetryBudget,
-    deadline::{EstimateSeed, StageEstimates, effective_deadline_ms},
+    deadline::{DeclaredEstimate, StageEstimates, effective_deadline_ms},
     outcome::{Execution, Reason, Usage},
     routing::PoolLoad,
 };
@@ -47,15 +47,15 @@
         requests in prop::collection::vec((pool_load(), pool_load(), 0..5_000_u64, 0..3_usize), 1..60),
     ) {
         let mut estimates = StageEstimates::new();
-        let seed = EstimateSeed { estimate_ms: 40, token_estimate_ms: 5 };
-        let first = estimates.pool("retrieve", seed);
-        let second = estimates.pool("generate", seed);
+        let seed = DeclaredEstimate { estimate_ms: 40, token_estimate_ms: 5 };
+        let first = estimates.register_pool("retrieve", seed);
+        let second = estimates.register_pool("generate", seed);
         for usage in usages {
             estimates.on_complete(second, 200, usage);
         }
 
         let mut admission = Admission::new();
-        let customers = ["a", "b", "c"].map(|it| admission.customer(it, 1));
+        let customers = ["a", "b", "c"].map(|it| admission.register_customer(it, 1));
         let mut keys = Vec::new();
         for (first_load, second_load, allowed_ms, customer) in requests {
             let stages = [
@@ -101,15 +101,15 @@
     #[test]
     fn estimates_stay_between_the_observed_extremes(usages in prop::collection::vec(usage(), 1..300)) {
         let mut estimates = StageEstimates::new();
-        let seed = EstimateSeed { estimate_ms: 50, token_estimate_ms: 0 };
-        let pool = estimates.pool("rerank", seed);
+        let seed = DeclaredEstimate { estimate_ms: 50, token_estimate_ms: 0 };
+        let pool = estimates.register_pool("rerank", seed);
         let mut most_ms = seed.estimate_ms;
         for usage in usages {
             most_ms = most_ms.max(usage.engine_ms);
             estimates.on_complete(pool, 0, usage);
             let expected_ms = estimates.expected_ms(pool, 0);
             prop_assert!((1..=most_ms + 1).contains(&expected_ms));
-            prop_assert!(estimates.safe_ms(pool, 0) >= expected_ms);
+            prop_assert!(estimates.conservative_ms(pool, 0) >= expected_ms);
         }
     }
 
--- a/crates/entry/src/policy.rs
+++ b/crates/entry/src/policy.rs
@@ -6,7 +6,7 @@
 use yuccatrail_core::{
     FastMap,
     admission::{Admission, AdmissionKey, DeclaredPipeline, StageWork},
-    deadline::{EstimateSeed, PoolKey, StageEstimates},
+    deadline::{DeclaredEstimate, PoolKey, StageEstimates},
     document::{Document, Pool},
     hedge::RecentLatency,
     outcome::{Refusal, Usage},
@@ -68,14 +68,14 @@
 
     /// Moves estimates of pools without recent calls back towards the declared ones.
     pub(crate) fn relax(&self) {
-        self.lock().estimates.relax();
+        self.lock().estimates.decay_stale();
     }
 
     /// Returns the run time that most calls of a stage do not exceed, in milliseconds.
     pub(crate) fn safe_ms(&self, demand: StageDemand<'_>) -> u64 {
         let mut state = self.lock();
         let key = state.pool(demand.pool);
-        state.estimates.safe_ms(key, demand.max_tokens)
+        state.estimates.conservative_ms(key, demand.max_tokens)
     }
 
     /// Returns the expected run time of a stage, in milliseconds.
@@ -108,11 +108,11 @@
 
 impl State {
     fn pool(&mut self, pool: &Pool) -> PoolKey {
-        let seed = EstimateSeed {
+        let seed = DeclaredEstimate {
             estimate_ms: pool.estimate_ms,
             token_estimate_ms: pool.token_estimate_ms,
         };
-        self.estimates.pool(&pool.name, seed)
+        self.estimates.register_pool(&pool.name, seed)
     }
 }
 
@@ -140,7 +140,7 @@
         stages.push(StageWork { pool, max_tokens: demand.max_tokens, load });
     }
     let State { admission, estimates, .. } = &mut *state;
-    let customer = admission.customer(&request.customer, share);
+    let customer = admission.register_customer(&request.customer, share);
     let admitted = admission.admit(now_ms, estimates, customer, request.deadline_ms, &stages);
     let admitted = admitted.inspect_err(|refusal| {
         info!(request:% = request.id, reason:% = refusal.reason; "request not admitted: {stages:?}");
--- a/crates/fakes/src/model/entry.rs
+++ b/crates/fakes/src/model/entry.rs
@@ -65,7 +65,7 @@
     ) -> Self {
         let mut admission = Admission::new();
         let customer =
-            |it: &crate::model::fleet::CustomerSpec| admission.customer(it.name, it.share);
+            |it: &crate::model::fleet::CustomerSpec| admission.register_customer(it.name, it.share);
         let customers = fleet.customers.iter().map(customer).collect();
 
         let mut estimates = StageEstimates::new();
@@ -79,7 +79,7 @@
                 keys.push((key, number));
             }
             pools.push(PoolState {
-                key: estimates.pool(spec.name, spec.seed()),
+                key: estimates.register_pool(spec.name, spec.seed()),
                 view,
                 upstreams: keys,
                 budget: RetryBudget::new(RETRIES_PER_HUNDRED, RETRY_RESERVE),
@@ -144,7 +144,7 @@
     }
 
     pub(crate) fn relax(&mut self) {
-        self.estimates.relax();
+        self.estimates.decay_stale();
     }
 
     pub(crate) fn expected_ms(&self, stage: StageSpec) -> u64 {
@@ -152,7 +152,7 @@
     }
 
     pub(crate) fn safe_ms(&self, stage: StageSpec) -> u64 {
-        self.estimates.safe_ms(self.pools[stage.pool].key, stage.max_tokens)
+        self.estimates.conservative_ms(self.pools[stage.pool].key, stage.max_tokens)
     }
 
     pub(crate) fn hedge(
--- a/crates/fakes/src/model/fleet.rs
+++ b/crates/fakes/src/model/fleet.rs
@@ -1,6 +1,6 @@
 //! Modelled fleets: pools, pipelines and customers.
 
-use yuccatrail_core::{capacity::CapacityConfig, deadline::EstimateSeed};
+use yuccatrail_core::{capacity::CapacityConfig, deadline::DeclaredEstimate};
 
 /// A pool of upstreams.
 #[derive(Clone, Debug)]
@@ -27,8 +27,8 @@
         self.run_ms(tokens, self.limits.concurrency as usize - 1)
     }
 
-    pub(crate) fn seed(&self) -> EstimateSeed {
-        EstimateSeed {
+    pub(crate) fn seed(&self) -> DeclaredEstimate {
+        DeclaredEstimate {
             estimate_ms: self.call_ms as u64,
             token_estimate_ms: self.token_ms.ceil() as u64,
         }
