--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -201,7 +201,7 @@
         }
         let key = match self.ledger.submit(order.attempt, order.dispatch_by_ms, now_ms) {
             SubmitResult::Queued(key) => key,
-            SubmitResult::Joined(_) => return self.read(order.attempt, 0, 0),
+            SubmitResult::Duplicate(_) => return self.read(order.attempt, 0, 0),
             SubmitResult::NotRun(refusal) => return AttemptLookup::NotRun(refusal),
             SubmitResult::Unknown => return AttemptLookup::Unknown,
         };
@@ -280,7 +280,7 @@
 
     /// Returns the strikes to pass on.
     pub fn recent_strikes(&self, now_ms: u64) -> Vec<Strike> {
-        self.quarantine.recent(now_ms)
+        self.quarantine.recent_strikes(now_ms)
     }
 
     /// Does the periodic work; it has to be called more often than the pause limit.
@@ -332,7 +332,7 @@
 
     fn set_document(&mut self, document: &Document) {
         for Customer { name, share } in &document.customers {
-            self.queue.customer(name, *share);
+            self.queue.register_customer(name, *share);
         }
         self.quarantine.set_strike_limit(document.limits.quarantine_strikes);
         let Some(pool) = document.pool(&self.settings.pool) else { return };
@@ -351,17 +351,17 @@
         let admission = self.quarantine.admit_submit(order.fingerprint, &order.strikes, now_ms);
         let alone = match admission {
             Some(Admission::Normal) => false,
-            Some(Admission::Alone) => true,
+            Some(Admission::Exclusive) => true,
             Some(Admission::Refused) => return Err(Reason::Quarantined),
             None => return Err(Reason::Suspected),
         };
         let entry = QueueEntry {
             attempt: order.attempt,
-            customer: self.queue.customer(&order.customer, 1),
+            customer: self.queue.register_customer(&order.customer, 1),
             deadline_ms: order.deadline_ms,
             dispatch_by_ms: order.dispatch_by_ms,
             estimate_ms: order.estimate_ms,
-            alone,
+            exclusive: alone,
         };
         self.push(key, entry, order.fingerprint, now_ms)
     }
--- a/crates/core/src/agent/dispatch.rs
+++ b/crates/core/src/agent/dispatch.rs
@@ -11,7 +11,7 @@
     ids::{AttemptId, Digest},
     outcome::{Reason, Refusal},
     quarantine::Admission,
-    queue::{Dropped, EntryKey, Next, QueueEntry},
+    queue::{Dropped, EntryKey, Popped, QueueEntry},
 };
 
 /// Time after which a caller may come back to a busy upstream, in milliseconds.
@@ -58,7 +58,7 @@
     /// An upstream may turn cold without warning. A start beyond the cold limit therefore follows a
     /// probe closely, and that probe was sent after the attempt had arrived: otherwise a burst right
     /// after the turn would rest on a probe from before it.
-    fn pop(&mut self, now_ms: u64) -> Option<Next> {
+    fn pop(&mut self, now_ms: u64) -> Option<Popped> {
         if !self.rests_on_probe() {
             return self.queue.pop(now_ms);
         }
@@ -90,7 +90,7 @@
     }
 
     /// Starts an entry that was taken from the queue, unless it may not run any more.
-    pub(super) fn start(&mut self, next: Next, now_ms: u64) -> Option<Dispatch> {
+    pub(super) fn start(&mut self, next: Popped, now_ms: u64) -> Option<Dispatch> {
         let Some(&key) = self.keys_by_entry.get(&next.key) else {
             self.queue.finish(next.key);
             return None;
@@ -102,18 +102,18 @@
                 self.refuse(key, Reason::Quarantined, now_ms);
                 return None;
             }
-            Admission::Alone if !next.entry.alone => {
+            Admission::Exclusive if !next.entry.exclusive => {
                 self.requeue_alone(key, next, waiting.fingerprint, now_ms);
                 return None;
             }
-            Admission::Alone | Admission::Normal => {}
+            Admission::Exclusive | Admission::Normal => {}
         }
         let Some(call) = self.capacity.try_start(now_ms, next.entry.estimate_ms) else {
             self.queue.finish(next.key);
             self.refuse(key, Reason::Busy, now_ms);
             return None;
         };
-        if self.ledger.may_dispatch(key, now_ms) != DispatchCheck::Dispatch {
+        if self.ledger.begin_dispatch(key, now_ms) != DispatchCheck::Dispatch {
             self.capacity.finish(now_ms, call, CallEnd::Abandoned);
             self.queue.finish(next.key);
             self.forget(key, next.key);
@@ -131,13 +131,13 @@
     pub(super) fn requeue_alone(
         &mut self,
         key: AttemptKey,
-        next: Next,
+        next: Popped,
         fingerprint: Digest,
         now_ms: u64,
     ) {
         self.queue.finish(next.key);
         self.forget(key, next.key);
-        let entry = QueueEntry { alone: true, ..next.entry };
+        let entry = QueueEntry { exclusive: true, ..next.entry };
         if let Err(reason) = self.push(key, entry, fingerprint, now_ms) {
             self.refuse(key, reason, now_ms);
         }
--- a/crates/core/src/attempt/assembler.rs
+++ b/crates/core/src/attempt/assembler.rs
@@ -65,7 +65,12 @@
     }
 
     /// Takes a page that claims to stem from `attempt` at the agent run `agent`.
-    pub fn take(&mut self, attempt: AttemptId, agent: Incarnation, page: OutputPage) -> PageResult {
+    pub fn receive_page(
+        &mut self,
+        attempt: AttemptId,
+        agent: Incarnation,
+        page: OutputPage,
+    ) -> PageResult {
         let matches = attempt == self.attempt && agent == self.agent;
         if !matches && self.mechanisms.has(Sabotage::ResultMatching) {
             self.mismatched_pages += 1;
@@ -93,7 +98,7 @@
     }
 
     /// Returns the completion once the output is whole.
-    pub fn whole(&self) -> Option<&Completion> {
+    pub fn completed(&self) -> Option<&Completion> {
         let completion = self.completion.as_ref()?;
         let arrived = self.next_sequence == completion.chunk_count;
         (arrived || !self.mechanisms.has(Sabotage::WholeAnswer)).then_some(completion)
--- a/crates/core/src/attempt/ledger.rs
+++ b/crates/core/src/attempt/ledger.rs
@@ -91,7 +91,7 @@
         {
             return match self.records[key].state {
                 RecordState::NotRun(refusal) => SubmitResult::NotRun(refusal),
-                _ => SubmitResult::Joined(key),
+                _ => SubmitResult::Duplicate(key),
             };
         }
         if self.is_forgotten(dispatch_by_ms) {
@@ -141,7 +141,7 @@
     ///
     /// `now_ms` has to be read immediately before the call, because the process may have been
     /// paused since the attempt was taken from the queue.
-    pub fn may_dispatch(&mut self, key: AttemptKey, now_ms: u64) -> DispatchCheck {
+    pub fn begin_dispatch(&mut self, key: AttemptKey, now_ms: u64) -> DispatchCheck {
         self.advance(now_ms);
         let now_ms = self.now_ms;
         let checks_limit = self.mechanisms.has(Sabotage::DispatchLimit);
--- a/crates/core/src/attempt/record.rs
+++ b/crates/core/src/attempt/record.rs
@@ -19,7 +19,7 @@
     /// The attempt is new and was recorded as queued.
     Queued(AttemptKey),
     /// The attempt was submitted before; its record goes on unchanged.
-    Joined(AttemptKey),
+    Duplicate(AttemptKey),
     /// The attempt was not dispatched and never will be.
     NotRun(Refusal),
     /// The attempt was not recorded, and whether it ran earlier is not known.
--- a/crates/core/src/attempt/tests.rs
+++ b/crates/core/src/attempt/tests.rs
@@ -54,56 +54,59 @@
 #[test]
 fn overlapping_pages_release_each_chunk_once() {
     let mut output = OutputAssembler::new(attempt(0), AGENT);
-    assert_eq!(output.take(attempt(0), AGENT, page(2, &["c"], completed(4))), released(&[]));
+    assert_eq!(
+        output.receive_page(attempt(0), AGENT, page(2, &["c"], completed(4))),
+        released(&[])
+    );
     assert_eq!(output.next_sequence(), 0);
     let overlap = page(0, &["a", "b", "c"], Progress::Running);
-    assert_eq!(output.take(attempt(0), AGENT, overlap.clone()), released(&["a", "b", "c"]));
-    assert_eq!(output.take(attempt(0), AGENT, overlap), released(&[]));
-    assert_eq!(output.whole(), None);
+    assert_eq!(output.receive_page(attempt(0), AGENT, overlap.clone()), released(&["a", "b", "c"]));
+    assert_eq!(output.receive_page(attempt(0), AGENT, overlap), released(&[]));
+    assert_eq!(output.completed(), None);
     assert_eq!(
-        output.take(attempt(0), AGENT, page(3, &["d"], Progress::Running)),
+        output.receive_page(attempt(0), AGENT, page(3, &["d"], Progress::Running)),
         released(&["d"])
     );
-    assert_eq!(output.whole().map(|it| it.chunk_count), Some(4));
+    assert_eq!(output.completed().map(|it| it.chunk_count), Some(4));
 }
 
 #[test]
 fn pages_of_another_attempt_or_agent_run_are_dropped() {
     let mut output = OutputAssembler::new(attempt(0), AGENT);
     let other = page(0, &["x"], completed(1));
-    assert_eq!(output.take(attempt(1), AGENT, other.clone()), PageResult::Mismatched);
-    assert_eq!(output.take(attempt(0), Incarnation(8), other), PageResult::Mismatched);
+    assert_eq!(output.receive_page(attempt(1), AGENT, other.clone()), PageResult::Mismatched);
+    assert_eq!(output.receive_page(attempt(0), Incarnation(8), other), PageResult::Mismatched);
     assert_eq!(output.mismatched_pages(), 2);
-    assert_eq!(output.whole(), None);
+    assert_eq!(output.completed(), None);
 }
 
 #[test]
 fn contradictory_lengths_are_noticed() {
     let mut output = OutputAssembler::new(attempt(0), AGENT);
-    output.take(attempt(0), AGENT, page(0, &["a", "b"], Progress::Running));
+    output.receive_page(attempt(0), AGENT, page(0, &["a", "b"], Progress::Running));
     for wrong in [page(0, &[], completed(1)), page(u64::MAX, &["x"], Progress::Running)] {
-        assert_eq!(output.take(attempt(0), AGENT, wrong), PageResult::Contradictory);
+        assert_eq!(output.receive_page(attempt(0), AGENT, wrong), PageResult::Contradictory);
     }
-    assert_eq!(output.take(attempt(0), AGENT, page(2, &[], completed(2))), released(&[]));
+    assert_eq!(output.receive_page(attempt(0), AGENT, page(2, &[], completed(2))), released(&[]));
     let longer = page(2, &["c"], Progress::Running);
-    assert_eq!(output.take(attempt(0), AGENT, longer), PageResult::Contradictory);
+    assert_eq!(output.receive_page(attempt(0), AGENT, longer), PageResult::Contradictory);
     assert_eq!(output.contradictory_pages(), 3);
 }
 
 #[test]
 fn an_empty_answer_is_whole() {
     let mut output = OutputAssembler::new(attempt(0), AGENT);
-    output.take(attempt(0), AGENT, page(0, &[], completed(0)));
-    assert!(output.whole().is_some());
+    output.receive_page(attempt(0), AGENT, page(0, &[], completed(0)));
+    assert!(output.completed().is_some());
 }
 
 #[test]
 fn a_repeated_submit_is_dispatched_once() {
     let mut ledger = AttemptLedger::new(LIMITS);
     let key = queued(ledger.submit(attempt(0), 40, 0));
-    assert_eq!(ledger.submit(attempt(0), 40, 1), SubmitResult::Joined(key));
-    assert_eq!(ledger.may_dispatch(key, 2), DispatchCheck::Dispatch);
-    assert_eq!(ledger.may_dispatch(key, 3), DispatchCheck::AlreadyDispatched);
+    assert_eq!(ledger.submit(attempt(0), 40, 1), SubmitResult::Duplicate(key));
+    assert_eq!(ledger.begin_dispatch(key, 2), DispatchCheck::Dispatch);
+    assert_eq!(ledger.begin_dispatch(key, 3), DispatchCheck::AlreadyDispatched);
     assert_eq!(ledger.cancel(attempt(0), 40, 4), CancelResult::Running(key));
 }
 
@@ -122,7 +125,7 @@
     let expired = not_run(Reason::DispatchExpired);
     assert_eq!(ledger.submit(attempt(0), 10, 11), SubmitResult::NotRun(expired));
     let key = queued(ledger.submit(attempt(1), 20, 11));
-    assert_eq!(ledger.may_dispatch(key, 21), DispatchCheck::NotRun(expired));
+    assert_eq!(ledger.begin_dispatch(key, 21), DispatchCheck::NotRun(expired));
     assert_eq!(ledger.submit(attempt(1), 20, 12), SubmitResult::NotRun(expired));
     assert_eq!(ledger.submit(attempt(2), 72, 21), SubmitResult::Unknown);
 }
@@ -131,7 +134,7 @@
 fn an_evicted_attempt_is_unknown() {
     let mut ledger = AttemptLedger::new(LIMITS);
     let key = queued(ledger.submit(attempt(0), 40, 0));
-    assert_eq!(ledger.may_dispatch(key, 1), DispatchCheck::Dispatch);
+    assert_eq!(ledger.begin_dispatch(key, 1), DispatchCheck::Dispatch);
     end(&mut ledger, key, 2);
     ledger.evict(140);
     assert_eq!(ledger.len(), 1);
@@ -157,7 +160,7 @@
     let mut ledger = AttemptLedger::new(LIMITS);
     for number in 0..2 {
         let key = queued(ledger.submit(attempt(number), 40, 0));
-        ledger.may_dispatch(key, 0);
+        ledger.begin_dispatch(key, 0);
         assert!(ledger.push_chunk(key, Bytes::from_static(b"abc")));
         assert!(ledger.push_chunk(key, Bytes::from_static(b"de")));
         end(&mut ledger, key, 1);
--- a/crates/core/src/quarantine/crashes.rs
+++ b/crates/core/src/quarantine/crashes.rs
@@ -7,7 +7,7 @@
 //!
 //! # Bound on lost upstreams
 //!
-//! A request that always crashes its upstream takes down [`CRASHES`] of them, and one more for each
+//! A request that always crashes its upstream takes down [`CRASH_LIMIT`] of them, and one more for each
 //! copy that is sent before the last strike has reached its entry.
 
 use crate::{
@@ -18,7 +18,7 @@
 };
 
 /// Upstreams that crashed with a request before it is refused, as the users' rules allow.
-pub const CRASHES: u32 = 3;
+pub const CRASH_LIMIT: u32 = 3;
 /// Time for which a crash counts, in milliseconds; later the request gets another chance.
 const RETENTION_MS: u64 = 120_000;
 /// Largest number of strikes held, about those of one zone's upstreams that crash at once.
@@ -34,7 +34,7 @@
 
 /// What one entry knows of requests and the upstreams that crashed with them.
 #[derive(Clone, Debug)]
-pub struct CrashWatch {
+pub struct CrashTracker {
     quarantine: Quarantine,
     /// Time of the last completion of each request, in milliseconds.
     completed: FastMap<RequestHash, u64>,
@@ -52,17 +52,17 @@
     LaterCompletion,
 }
 
-impl Default for CrashWatch {
+impl Default for CrashTracker {
     fn default() -> Self {
         Self::new()
     }
 }
 
-impl CrashWatch {
+impl CrashTracker {
     /// Creates the knowledge of an entry that has seen no crash.
     pub fn new() -> Self {
         let limits = QuarantineLimits {
-            strikes: CRASHES,
+            strikes: CRASH_LIMIT,
             retention_ms: RETENTION_MS,
             max_strikes: MAX_STRIKES,
         };
@@ -132,8 +132,8 @@
     }
 
     /// Returns the strikes to pass on to other entries.
-    pub fn recent(&self, now_ms: u64) -> Vec<Strike> {
-        self.quarantine.recent(now_ms)
+    pub fn recent_strikes(&self, now_ms: u64) -> Vec<Strike> {
+        self.quarantine.recent_strikes(now_ms)
     }
 
     /// Forgets what no longer counts.
--- a/crates/core/src/quarantine/crashes/tests.rs
+++ b/crates/core/src/quarantine/crashes/tests.rs
@@ -6,13 +6,13 @@
     Digest([7; 32])
 }
 
-fn crash(watch: &mut CrashWatch, run: u64, now_ms: u64) -> bool {
+fn crash(watch: &mut CrashTracker, run: u64, now_ms: u64) -> bool {
     watch.on_crash(Incarnation(run), digest(), REQUEST, now_ms)
 }
 
 #[test]
 fn a_request_is_refused_after_it_crashed_three_upstreams() {
-    let mut watch = CrashWatch::new();
+    let mut watch = CrashTracker::new();
     for run in 0..2 {
         assert!(crash(&mut watch, run, 100 * run));
         assert!(!watch.is_refused(digest(), 1_000));
@@ -29,7 +29,7 @@
 
 #[test]
 fn a_completion_speaks_for_a_request_before_and_after() {
-    let mut watch = CrashWatch::new();
+    let mut watch = CrashTracker::new();
     watch.on_complete(REQUEST, digest, 0);
     for run in 0..3 {
         assert!(!crash(&mut watch, run, COMPLETED_MS - 1));
@@ -44,7 +44,7 @@
 
 #[test]
 fn completions_are_bounded() {
-    let mut watch = CrashWatch::new();
+    let mut watch = CrashTracker::new();
     for number in 0..2 * MAX_COMPLETED as u64 {
         watch.on_complete(RequestHash(number), digest, 0);
     }
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -21,7 +21,7 @@
 //! copies sent one after the other, each after the strikes of the one before have reached the next
 //! entry or agent, `u` is one and the bound is two. It rests on these rules:
 //!
-//! - All entries send a suspect to the same upstream, [`alone_upstream`], and pass on the strikes
+//! - All entries send a suspect to the same upstream, [`exclusive_upstream`], and pass on the strikes
 //!   that they know in the submit. The agent there runs it alone, thus one copy at a time, and after
 //!   a stop it knows at least two strikes, so it refuses every other copy.
 //! - An agent that knows a strike of which the entry did not know refuses the submit as not run, see
@@ -46,10 +46,10 @@
 mod suspects;
 
 pub use self::{
-    crashes::{CRASHES, CrashSabotage, CrashWatch, RequestHash},
+    crashes::{CRASH_LIMIT, CrashSabotage, CrashTracker, RequestHash},
     registry::{Admission, Quarantine, QuarantineLimits},
     strike::Strike,
-    suspects::{SuspectTracker, alone_upstream},
+    suspects::{SuspectTracker, exclusive_upstream},
 };
 
 #[cfg(test)]
--- a/crates/core/src/quarantine/registry.rs
+++ b/crates/core/src/quarantine/registry.rs
@@ -35,7 +35,7 @@
     /// The request may share an upstream with others.
     Normal,
     /// The request is a suspect and needs an upstream to itself.
-    Alone,
+    Exclusive,
     /// The request is condemned and must not run.
     Refused,
 }
@@ -102,7 +102,7 @@
             return Admission::Refused;
         }
         if strikes > 0 && self.mechanisms.has(Sabotage::RunSuspectsAlone) {
-            return Admission::Alone;
+            return Admission::Exclusive;
         }
         Admission::Normal
     }
@@ -120,7 +120,7 @@
     ) -> Option<Admission> {
         self.merge(strikes, now_ms);
         let admission = self.admit(fingerprint, now_ms);
-        let is_unaware = admission == Admission::Alone && strikes.is_empty();
+        let is_unaware = admission == Admission::Exclusive && strikes.is_empty();
         (!is_unaware || !self.mechanisms.has(Sabotage::RefuseUnawareSubmit)).then_some(admission)
     }
 
@@ -184,7 +184,7 @@
     }
 
     /// Returns the strikes to pass on to peers, the newest first.
-    pub fn recent(&self, now_ms: u64) -> Vec<Strike> {
+    pub fn recent_strikes(&self, now_ms: u64) -> Vec<Strike> {
         let max_age_ms = self.limits.retention_ms / PASSED_RETENTION_DIVISOR;
         let mut recent = Vec::new();
         for (&fingerprint, held) in &self.strikes {
--- a/crates/core/src/quarantine/suspects.rs
+++ b/crates/core/src/quarantine/suspects.rs
@@ -28,8 +28,8 @@
         let is_running = self.in_progress.contains_key(&fingerprint);
         match admission {
             Admission::Refused => return false,
-            Admission::Alone if is_running => return false,
-            Admission::Alone | Admission::Normal => {}
+            Admission::Exclusive if is_running => return false,
+            Admission::Exclusive | Admission::Normal => {}
         }
         *self.in_progress.entry(fingerprint).or_default() += 1;
         true
@@ -55,7 +55,7 @@
 /// Every entry that passes the same candidates in any order gets the same answer, so that copies of
 /// a suspect sent through different entries meet at one agent. Candidates are the agent runs of the
 /// pool, also those whose upstream is busy; returns `None` when there are none.
-pub fn alone_upstream(fingerprint: Digest, candidates: &[Incarnation]) -> Option<Incarnation> {
+pub fn exclusive_upstream(fingerprint: Digest, candidates: &[Incarnation]) -> Option<Incarnation> {
     let mut best: Option<(Digest, Incarnation)> = None;
     for &candidate in candidates {
         let mut input = fingerprint.0.to_vec();
--- a/crates/core/src/quarantine/tests.rs
+++ b/crates/core/src/quarantine/tests.rs
@@ -18,8 +18,8 @@
     let mut quarantine = Quarantine::new(LIMITS);
     assert_eq!(quarantine.admit(poison, 0), Admission::Normal);
     assert_eq!(quarantine.on_stop(A, 1, &[poison, innocent], 0).len(), 2);
-    assert_eq!(quarantine.admit(poison, 1), Admission::Alone);
-    assert_eq!(quarantine.admit(innocent, 1), Admission::Alone);
+    assert_eq!(quarantine.admit(poison, 1), Admission::Exclusive);
+    assert_eq!(quarantine.admit(innocent, 1), Admission::Exclusive);
     quarantine.on_complete(innocent);
     quarantine.on_stop(B, 1, &[poison], 2);
     assert_eq!(quarantine.admit(poison, 3), Admission::Refused);
@@ -33,7 +33,7 @@
     for number in 0..3 {
         quarantine.on_stop(A, number, &[innocent, fingerprint(number as u8)], 0);
     }
-    assert_eq!(quarantine.admit(innocent, 0), Admission::Alone);
+    assert_eq!(quarantine.admit(innocent, 0), Admission::Exclusive);
 }
 
 #[test]
@@ -52,9 +52,9 @@
     let strikes = here.on_stop(A, 1, &[poison], 0);
     there.merge(&strikes, 0);
     there.merge(&strikes, 5);
-    assert_eq!((there.len(), there.admit(poison, 5)), (1, Admission::Alone));
+    assert_eq!((there.len(), there.admit(poison, 5)), (1, Admission::Exclusive));
     there.on_complete(poison);
-    here.merge(&there.recent(6), 6);
+    here.merge(&there.recent_strikes(6), 6);
     there.merge(&strikes, 7);
     assert_eq!(here.admit(poison, 7), Admission::Normal);
     assert_eq!(there.admit(poison, 7), Admission::Normal);
@@ -66,10 +66,10 @@
     let mut here = Quarantine::new(LIMITS);
     let mut there = Quarantine::new(LIMITS);
     here.on_stop(A, 1, &[poison], 0);
-    there.merge(&here.recent(499), 499);
-    assert_eq!(here.recent(500), Vec::new());
-    assert_eq!(there.recent(500), Vec::new());
-    assert_eq!(there.admit(poison, 999), Admission::Alone);
+    there.merge(&here.recent_strikes(499), 499);
+    assert_eq!(here.recent_strikes(500), Vec::new());
+    assert_eq!(there.recent_strikes(500), Vec::new());
+    assert_eq!(there.admit(poison, 999), Admission::Exclusive);
     assert_eq!(there.admit(poison, 1000), Admission::Normal);
     there.expire(1000);
     assert!(there.is_empty());
@@ -83,7 +83,7 @@
     }
     assert_eq!(quarantine.len(), 4);
     assert_eq!(quarantine.admit(fingerprint(1), 6), Admission::Normal);
-    assert_eq!(quarantine.admit(fingerprint(2), 6), Admission::Alone);
+    assert_eq!(quarantine.admit(fingerprint(2), 6), Admission::Exclusive);
 }
 
 #[test]
@@ -92,19 +92,19 @@
     let request = fingerprint(1);
     assert!(tracker.start(request, Admission::Normal));
     assert!(tracker.start(request, Admission::Normal));
-    assert!(!tracker.start(request, Admission::Alone));
+    assert!(!tracker.start(request, Admission::Exclusive));
     tracker.finish(request);
     tracker.finish(request);
     assert_eq!(tracker.in_progress(request), 0);
-    assert!(tracker.start(request, Admission::Alone));
+    assert!(tracker.start(request, Admission::Exclusive));
     assert!(!tracker.start(fingerprint(2), Admission::Refused));
 }
 
 #[test]
 fn entries_agree_on_the_upstream_of_a_suspect() {
     let request = fingerprint(1);
-    let chosen = alone_upstream(request, &[A, B]);
+    let chosen = exclusive_upstream(request, &[A, B]);
     assert!(chosen.is_some());
-    assert_eq!(chosen, alone_upstream(request, &[B, A]));
-    assert_eq!(alone_upstream(request, &[]), None);
+    assert_eq!(chosen, exclusive_upstream(request, &[B, A]));
+    assert_eq!(exclusive_upstream(request, &[]), None);
 }
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -36,7 +36,7 @@
     /// Expected run time, in milliseconds.
     pub estimate_ms: u64,
     /// Whether the attempt runs only while nothing else does.
-    pub alone: bool,
+    pub exclusive: bool,
 }
 
 impl QueueEntry {
@@ -79,7 +79,7 @@
 
 /// An entry that the caller has to run now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Next {
+pub struct Popped {
     /// Key to pass to [`Queue::finish`].
     pub key: EntryKey,
     /// The entry.
@@ -96,7 +96,7 @@
     #[default]
     None,
     /// Exclusive entries run beside others.
-    IgnoreAlone,
+    IgnoreExclusive,
     /// Entries start although they can't finish in time.
     StartExpired,
     /// Entries start in the order of their deadlines, whoever the customer is.
@@ -168,8 +168,8 @@
     }
 
     /// Returns the key of a customer and takes over its current share.
-    pub fn customer(&mut self, name: &str, share: u32) -> CustomerKey {
-        self.shares.customer(name, share)
+    pub fn register_customer(&mut self, name: &str, share: u32) -> CustomerKey {
+        self.shares.register_customer(name, share)
     }
 
     /// Returns the number of waiting entries.
@@ -215,7 +215,7 @@
     /// Takes the next entry to run, if there is one that may start now.
     ///
     /// Entries that may no longer start are passed over; [`Queue::expire`] returns them.
-    pub fn pop(&mut self, now_ms: u64) -> Option<Next> {
+    pub fn pop(&mut self, now_ms: u64) -> Option<Popped> {
         self.pop_if(now_ms, |_| true)
     }
 
@@ -226,7 +226,7 @@
         &mut self,
         now_ms: u64,
         is_eligible: impl Fn(EntryKey) -> bool,
-    ) -> Option<Next> {
+    ) -> Option<Popped> {
         if self.is_exclusive_running() {
             return None;
         }
@@ -245,7 +245,7 @@
         self.slots[key].state = State::Running;
         self.queued -= 1;
         let queued_ms = now_ms.saturating_sub(slot.pushed_ms);
-        Some(Next { key, entry: slot.entry, queued_ms })
+        Some(Popped { key, entry: slot.entry, queued_ms })
     }
 
     /// Ends an entry that was popped; returns `None` if it was not running.
@@ -333,14 +333,14 @@
     }
 
     fn is_exclusive_running(&self) -> bool {
-        if self.ignores_alone() {
+        if self.ignores_exclusive() {
             return false;
         }
-        self.slots.values().any(|it| it.state == State::Running && it.entry.alone)
+        self.slots.values().any(|it| it.state == State::Running && it.entry.exclusive)
     }
 
     fn must_wait(&self, entry: &QueueEntry) -> bool {
-        entry.alone && self.running() > 0 && !self.ignores_alone()
+        entry.exclusive && self.running() > 0 && !self.ignores_exclusive()
     }
 
     fn select(&self, now_ms: u64, is_eligible: impl Fn(EntryKey) -> bool) -> Option<EntryKey> {
@@ -367,9 +367,9 @@
         entry.expired(now_ms).is_none()
     }
 
-    fn ignores_alone(&self) -> bool {
+    fn ignores_exclusive(&self) -> bool {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Sabotage::IgnoreAlone {
+        if self.sabotage == Sabotage::IgnoreExclusive {
             return true;
         }
         false
--- a/crates/core/src/queue/shares.rs
+++ b/crates/core/src/queue/shares.rs
@@ -55,7 +55,7 @@
 
 impl Shares {
     /// Returns the key of a customer and takes over its current share.
-    pub(crate) fn customer(&mut self, name: &str, share: u32) -> CustomerKey {
+    pub(crate) fn register_customer(&mut self, name: &str, share: u32) -> CustomerKey {
         let share = share.max(1);
         if let Some(&key) = self.keys_by_name.get(name) {
             self.customers[key].share = share;
--- a/crates/core/src/queue/tests.rs
+++ b/crates/core/src/queue/tests.rs
@@ -13,18 +13,18 @@
         deadline_ms,
         dispatch_by_ms: deadline_ms,
         estimate_ms: 10,
-        alone: false,
+        exclusive: false,
     }
 }
 
-fn request(next: Option<Next>) -> Option<u128> {
+fn request(next: Option<Popped>) -> Option<u128> {
     next.map(|it| it.entry.attempt.request.0)
 }
 
 #[test]
 fn earliest_deadline_goes_first() {
     let mut queue = Queue::new(8);
-    let customer = queue.customer("a", 1);
+    let customer = queue.register_customer("a", 1);
     for (number, deadline_ms) in [(1, 300), (2, 100), (3, 200)] {
         queue.push(0, entry(customer, number, deadline_ms)).unwrap();
     }
@@ -35,8 +35,8 @@
 #[test]
 fn small_customer_is_not_starved_by_earlier_deadlines_of_a_large_one() {
     let mut queue = Queue::new(200);
-    let large = queue.customer("large", 1);
-    let small = queue.customer("small", 1);
+    let large = queue.register_customer("large", 1);
+    let small = queue.register_customer("small", 1);
     for number in 0..100 {
         let entry = QueueEntry { estimate_ms: 1_000, ..entry(large, number, 1_000_000) };
         queue.push(0, entry).unwrap();
@@ -59,9 +59,9 @@
 #[test]
 fn exclusive_entry_waits_for_the_others_and_holds_back_the_next() {
     let mut queue = Queue::new(8);
-    let customer = queue.customer("a", 1);
+    let customer = queue.register_customer("a", 1);
     queue.push(0, entry(customer, 1, 100)).unwrap();
-    queue.push(0, QueueEntry { alone: true, ..entry(customer, 2, 200) }).unwrap();
+    queue.push(0, QueueEntry { exclusive: true, ..entry(customer, 2, 200) }).unwrap();
     queue.push(0, entry(customer, 3, 300)).unwrap();
 
     let first = queue.pop(0).unwrap();
@@ -77,7 +77,7 @@
 #[test]
 fn late_entries_are_refused_passed_over_and_dropped() {
     let mut queue = Queue::new(8);
-    let customer = queue.customer("a", 1);
+    let customer = queue.register_customer("a", 1);
     assert_eq!(queue.push(95, entry(customer, 1, 100)), Err(Reason::DeadlineUnreachable));
 
     let late = queue.push(50, entry(customer, 2, 100)).unwrap().key;
@@ -93,8 +93,8 @@
 #[test]
 fn full_queue_makes_room_for_a_customer_below_its_part() {
     let mut queue = Queue::new(4);
-    let large = queue.customer("large", 1);
-    let small = queue.customer("small", 1);
+    let large = queue.register_customer("large", 1);
+    let small = queue.register_customer("small", 1);
     for number in 0..4 {
         queue.push(0, entry(large, number, 100 + number as u64)).unwrap();
     }
@@ -111,7 +111,7 @@
 #[test]
 fn drain_returns_only_what_waits() {
     let mut queue = Queue::new(8);
-    let customer = queue.customer("a", 1);
+    let customer = queue.register_customer("a", 1);
     for number in 1..4 {
         queue.push(0, entry(customer, number, 1_000)).unwrap();
     }
--- a/crates/core/tests/attempt_fuzz.rs
+++ b/crates/core/tests/attempt_fuzz.rs
@@ -187,14 +187,14 @@
             SubmitResult::Queued(key) => self.seen[attempt].keys.push(key),
             SubmitResult::NotRun(_) => self.check_not_run(attempt)?,
             SubmitResult::Unknown => self.check_unknown(attempt)?,
-            SubmitResult::Joined(_) => {}
+            SubmitResult::Duplicate(_) => {}
         }
         Ok(())
     }
 
     fn dispatch(&mut self, attempt: usize) -> Result<(), String> {
         for key in self.seen[attempt].keys.clone() {
-            match self.ledger.may_dispatch(key, self.now_ms) {
+            match self.ledger.begin_dispatch(key, self.now_ms) {
                 DispatchCheck::Dispatch => self.on_dispatch(attempt)?,
                 DispatchCheck::NotRun(_) => self.check_not_run(attempt)?,
                 DispatchCheck::AlreadyDispatched => {}
--- a/crates/core/tests/attempt_output_fuzz.rs
+++ b/crates/core/tests/attempt_output_fuzz.rs
@@ -108,7 +108,7 @@
     let rest = PageStep { from: 0, to: CHUNKS, completes: true, origin: Origin::Live };
     for step in steps.iter().chain([&rest]) {
         let (attempt, agent) = identity(step.origin);
-        let result = output.take(attempt, agent, page(step));
+        let result = output.receive_page(attempt, agent, page(step));
         let is_live = step.origin == Origin::Live;
         completed |= is_live && step.completes;
         foreign_pages += u64::from(!is_live);
@@ -127,7 +127,7 @@
         if output.next_sequence() != released {
             return Err(format!("next is {} after {released}", output.next_sequence()));
         }
-        if output.whole().is_some() != (completed && released == CHUNKS) {
+        if output.completed().is_some() != (completed && released == CHUNKS) {
             return Err(format!("whole is wrong after {released} chunks"));
         }
     }
--- a/crates/core/tests/crashes_fuzz.rs
+++ b/crates/core/tests/crashes_fuzz.rs
@@ -12,7 +12,7 @@
 use proptest::prelude::*;
 use yuccatrail_core::{
     ids::{Digest, Incarnation},
-    quarantine::{CRASHES, CrashSabotage, CrashWatch, RequestHash},
+    quarantine::{CRASH_LIMIT, CrashSabotage, CrashTracker, RequestHash},
 };
 
 const RUN: Run = Run { seed: 7_607, cases: 1_000, steps: 120 };
@@ -40,12 +40,12 @@
 
 impl Known {
     fn is_refused(&self) -> bool {
-        self.crashes.difference(&self.settled).count() >= CRASHES as usize
+        self.crashes.difference(&self.settled).count() >= CRASH_LIMIT as usize
     }
 }
 
 struct Entry {
-    watch: CrashWatch,
+    watch: CrashTracker,
     known: [Known; REQUESTS],
 }
 
@@ -107,7 +107,7 @@
     }
 
     fn tell(&mut self, from: usize, to: usize) {
-        let strikes = self.entries[from].watch.recent(self.now_ms);
+        let strikes = self.entries[from].watch.recent_strikes(self.now_ms);
         let told = self.entries[from].known.clone();
         let Entry { watch, known } = &mut self.entries[to];
         watch.merge(&strikes, self.now_ms);
@@ -125,7 +125,7 @@
     fn new(off: Option<CrashSabotage>) -> Self {
         let mut entries = Vec::new();
         for _ in 0..ENTRIES {
-            let mut watch = CrashWatch::new();
+            let mut watch = CrashTracker::new();
             harness::sabotage!(watch, off);
             entries.push(Entry { watch, known: Default::default() });
         }
@@ -163,7 +163,7 @@
             let crashes = self.entries[0].known[request].crashes.len();
             for entry in &self.entries {
                 let is_refused = entry.watch.is_refused(digest(request), self.now_ms);
-                assert_eq!(is_refused, crashes >= CRASHES as usize);
+                assert_eq!(is_refused, crashes >= CRASH_LIMIT as usize);
             }
         }
     }
--- a/crates/core/tests/quarantine_fuzz.rs
+++ b/crates/core/tests/quarantine_fuzz.rs
@@ -8,7 +8,9 @@
 use proptest_state_machine::ReferenceStateMachine;
 use yuccatrail_core::{
     ids::{Digest, Incarnation},
-    quarantine::{Admission, Quarantine, QuarantineLimits, Strike, SuspectTracker, alone_upstream},
+    quarantine::{
+        Admission, Quarantine, QuarantineLimits, Strike, SuspectTracker, exclusive_upstream,
+    },
     sabotage::Sabotage,
 };
 
@@ -128,12 +130,12 @@
         let strikes = self.processes[entry].strikes_against(fingerprint(request), self.now_ms);
         let mut candidates: Vec<_> = (0..AGENTS).map(agent_run).collect();
         candidates.rotate_left(entry);
-        let agent = match alone_upstream(fingerprint(request), &candidates) {
-            Some(run) if at_entry == Admission::Alone => run.0 as usize,
+        let agent = match exclusive_upstream(fingerprint(request), &candidates) {
+            Some(run) if at_entry == Admission::Exclusive => run.0 as usize,
             _ => agent,
         };
         let told = [entry, ENTRIES + agent].iter().any(|&it| self.told[it].contains(&request));
-        if at_entry == Admission::Alone {
+        if at_entry == Admission::Exclusive {
             self.tell(ENTRIES + agent, request);
         }
         let process = &mut self.processes[ENTRIES + agent];
@@ -141,7 +143,7 @@
         if let Some(admission) = admission {
             self.check_refusal(request, admission)?;
         }
-        let alone = admission == Some(Admission::Alone);
+        let alone = admission == Some(Admission::Exclusive);
         let upstream = &mut self.upstreams[agent];
         let is_free = if alone { upstream.is_empty() } else { !upstream.iter().any(|it| it.alone) };
         if matches!(admission, None | Some(Admission::Refused)) || !is_free {
@@ -195,7 +197,7 @@
     }
 
     fn gossip(&mut self, from: usize, to: usize) {
-        let strikes = self.processes[from].recent(self.now_ms);
+        let strikes = self.processes[from].recent_strikes(self.now_ms);
         self.processes[to].merge(&strikes, self.now_ms);
         let told = self.told[from].clone();
         self.told[to].extend(told);
@@ -257,7 +259,7 @@
     for strike in strikes {
         quarantine.merge(&[*strike], 0);
     }
-    let mut known = vec![(Admission::Normal, quarantine.recent(0))];
+    let mut known = vec![(Admission::Normal, quarantine.recent_strikes(0))];
     for request in 0..REQUESTS {
         let strikes = quarantine.strikes_against(fingerprint(request), 0);
         known.push((quarantine.admit(fingerprint(request), 0), strikes));
--- a/crates/core/tests/queue_fuzz.rs
+++ b/crates/core/tests/queue_fuzz.rs
@@ -30,7 +30,7 @@
     estimate_ms: u64,
     slack_ms: u64,
     dispatch_ms: u64,
-    alone: bool,
+    exclusive: bool,
 }
 
 #[derive(Clone, Debug)]
@@ -45,14 +45,14 @@
 }
 
 fn push_spec() -> impl Strategy<Value = PushSpec> {
-    let alone = prop::bool::weighted(0.1);
-    (0..SHARES.len(), 1..100_u64, 0..400_u64, 0..500_u64, alone).prop_map(
-        |(customer, estimate_ms, slack_ms, dispatch_ms, alone)| PushSpec {
+    let exclusive = prop::bool::weighted(0.1);
+    (0..SHARES.len(), 1..100_u64, 0..400_u64, 0..500_u64, exclusive).prop_map(
+        |(customer, estimate_ms, slack_ms, dispatch_ms, exclusive)| PushSpec {
             customer,
             estimate_ms,
             slack_ms,
             dispatch_ms,
-            alone,
+            exclusive,
         },
     )
 }
@@ -116,8 +116,8 @@
 
     fn check_pop(&self, now_ms: u64, entry: &QueueEntry) {
         assert!(!is_late(entry, now_ms), "started too late to finish");
-        assert!(!self.running.values().any(|it| it.alone), "started beside an exclusive entry");
-        if entry.alone {
+        assert!(!self.running.values().any(|it| it.exclusive), "started beside an exclusive entry");
+        if entry.exclusive {
             assert!(self.running.is_empty(), "exclusive entry started beside others");
             return;
         }
@@ -128,11 +128,11 @@
     }
 
     fn check_nothing_popped(&self, now_ms: u64) {
-        if self.running.values().any(|it| it.alone) {
+        if self.running.values().any(|it| it.exclusive) {
             return;
         }
         let mut startable = self.waiting.values().filter(|it| !is_late(it, now_ms));
-        let waits_for_idle = startable.clone().any(|it| it.alone) && !self.running.is_empty();
+        let waits_for_idle = startable.clone().any(|it| it.exclusive) && !self.running.is_empty();
         assert!(waits_for_idle || startable.next().is_none(), "nothing started although it could");
     }
 }
@@ -164,7 +164,7 @@
         queue.sabotage(SABOTAGE.get());
         let mut customers = Vec::new();
         for (number, share) in SHARES.iter().enumerate() {
-            customers.push(queue.customer(&number.to_string(), *share));
+            customers.push(queue.register_customer(&number.to_string(), *share));
         }
         Self { queue, customers, now_ms: 0, pushes: 0 }
     }
@@ -183,7 +183,7 @@
             deadline_ms: self.now_ms + spec.slack_ms,
             dispatch_by_ms: self.now_ms + spec.dispatch_ms,
             estimate_ms: spec.estimate_ms,
-            alone: spec.alone,
+            exclusive: spec.exclusive,
         }
     }
 
@@ -318,7 +318,7 @@
                 slack_ms: 1_000_000 + spec.slack_ms + extra_ms * spec.customer as u64,
                 dispatch_ms: 10_000_000,
                 estimate_ms: LONGEST_MS / 100 * spec.estimate_ms,
-                alone: false,
+                exclusive: false,
                 ..spec.clone()
             };
             let entry = sut.entry(&spec);
@@ -360,8 +360,12 @@
 #[cfg(feature = "sabotage")]
 #[test]
 fn oracle_notices_each_disabled_mechanism() {
-    let mechanisms =
-        [Sabotage::IgnoreAlone, Sabotage::StartExpired, Sabotage::NoEviction, Sabotage::Unbounded];
+    let mechanisms = [
+        Sabotage::IgnoreExclusive,
+        Sabotage::StartExpired,
+        Sabotage::NoEviction,
+        Sabotage::Unbounded,
+    ];
     for sabotage in mechanisms {
         assert!(run(sabotage).is_err(), "{sabotage:?} went unnoticed");
     }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -17,7 +17,7 @@
         Directory, Evidence, InstanceList, InstanceRecord, SubsetSizes, UpstreamKey, subset,
     },
     outcome::Reason,
-    quarantine::alone_upstream,
+    quarantine::exclusive_upstream,
     routing::{
         self, AttemptEnd, Candidate, Choice, ChoiceReason, PoolLoad, PoolView, RandomNumbers,
         RouteContext,
@@ -194,7 +194,7 @@
             incarnations.push((incarnation, member.view));
         }
         let runs: Vec<Incarnation> = incarnations.iter().map(|it| it.0).collect();
-        let chosen = alone_upstream(fingerprint, &runs).ok_or(Reason::NoUpstream)?;
+        let chosen = exclusive_upstream(fingerprint, &runs).ok_or(Reason::NoUpstream)?;
         let view = incarnations.iter().find(|it| it.0 == chosen).map(|it| it.1);
         let index =
             candidates.iter().position(|it| Some(it.key) == view).ok_or(Reason::NoUpstream)?;
--- a/crates/entry/src/relay/crashes.rs
+++ b/crates/entry/src/relay/crashes.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use yuccatrail_core::{
     ids::{Digest, Incarnation},
-    quarantine::{CrashWatch, RequestHash, Strike},
+    quarantine::{CrashTracker, RequestHash, Strike},
     upstreams::UpstreamRecord,
 };
 
@@ -31,7 +31,7 @@
 /// The crash watch of this entry.
 #[derive(Debug, Default)]
 pub(crate) struct Crashes {
-    watch: Mutex<CrashWatch>,
+    watch: Mutex<CrashTracker>,
 }
 
 impl Crashes {
@@ -48,7 +48,7 @@
 
     /// Returns the strikes to pass on to other entries.
     pub(crate) fn recent(&self, now_ms: u64) -> Vec<Strike> {
-        lock(&self.watch).recent(now_ms)
+        lock(&self.watch).recent_strikes(now_ms)
     }
 
     /// Takes in strikes that another entry passed on.
--- a/crates/entry/src/run/attempt.rs
+++ b/crates/entry/src/run/attempt.rs
@@ -248,14 +248,14 @@
 
     fn take_page(&mut self, attempt: AttemptId, agent: Incarnation, page: OutputPage) -> Step {
         let progress = page.progress.clone();
-        match self.assembler.take(attempt, agent, page) {
+        match self.assembler.receive_page(attempt, agent, page) {
             PageResult::Released(chunks) => self.deliver(chunks),
             PageResult::Mismatched | PageResult::Contradictory => {
                 self.entry.metrics.mismatched_pages.inc();
                 return Step::More;
             }
         }
-        if let Some(completion) = self.assembler.whole() {
+        if let Some(completion) = self.assembler.completed() {
             return Step::Done(completion.clone());
         }
         if let Progress::Failed(failure) = progress {
--- a/crates/entry/src/strikes.rs
+++ b/crates/entry/src/strikes.rs
@@ -73,7 +73,7 @@
         let state = self.lock();
         match state.quarantine.admit(fingerprint, now_ms) {
             Admission::Normal => Ok(false),
-            Admission::Alone if state.tracker.in_progress(fingerprint) <= 1 => Ok(true),
+            Admission::Exclusive if state.tracker.in_progress(fingerprint) <= 1 => Ok(true),
             admission => Err(refusal(admission)),
         }
     }
@@ -97,7 +97,7 @@
 
     /// Returns the strikes to pass on.
     pub(crate) fn recent(&self, now_ms: u64) -> Vec<Strike> {
-        self.lock().quarantine.recent(now_ms)
+        self.lock().quarantine.recent_strikes(now_ms)
     }
 
     /// Forgets strikes that no longer count.
@@ -125,7 +125,7 @@
 fn refusal(admission: Admission) -> Refusal {
     match admission {
         Admission::Refused => Refusal::not_run(Reason::Quarantined, QUARANTINED_RETRY_AFTER_MS),
-        Admission::Alone | Admission::Normal => {
+        Admission::Exclusive | Admission::Normal => {
             Refusal::not_run(Reason::Busy, SUSPECT_RETRY_AFTER_MS)
         }
     }
--- a/crates/fakes/src/model/agent.rs
+++ b/crates/fakes/src/model/agent.rs
@@ -64,7 +64,7 @@
     ) -> Self {
         let mut queue = Queue::new(spec.max_queued);
         let customers =
-            fleet.customers.iter().map(|it| queue.customer(it.name, it.share)).collect();
+            fleet.customers.iter().map(|it| queue.register_customer(it.name, it.share)).collect();
         Self {
             pool,
             data_centre,
@@ -115,7 +115,7 @@
             deadline_ms: it.deadline_ms,
             dispatch_by_ms: it.deadline_ms,
             estimate_ms: it.estimate_ms,
-            alone: false,
+            exclusive: false,
         };
         let pushed = self.queue.push(now_us / US_PER_MS, entry)?;
         self.waiting.insert(pushed.key, it.attempt);
