--- a/crates/core/src/admission/fairness.rs
+++ b/crates/core/src/admission/fairness.rs
@@ -1,13 +1,13 @@
-//! Shares of customers in the work that an entry admits.
+//! Tracks recent work by customer, to compare each customer with its fair share.
 
 use slotmap::{SlotMap, new_key_type};
 
 use crate::FastMap;
 
-/// Time in which past work counts half, in milliseconds.
+/// Half-life of recorded work, in milliseconds.
 const HALF_LIFE_MS: f64 = 20_000.0;
 
-/// Offered work below which a customer counts as idle, in milliseconds of run time.
+/// Offered work below which a customer counts as idle, in milliseconds of run time after decay.
 const IDLE_WORK_MS: f64 = 1.0;
 
 new_key_type! {
@@ -17,14 +17,18 @@
 
 #[derive(Clone, Debug)]
 struct Customer {
+    /// Weight relative to the other customers; at least one.
     share: u32,
+    /// Decayed run time of the requests that arrived.
     offered_ms: f64,
+    /// Decayed run time of the requests that were admitted.
     admitted_ms: f64,
-    /// Parts of requests that were due for admission and not admitted.
-    due: f64,
+    /// Sum of the fractions passed to [`Fairness::admit_fraction`], less one for each request that
+    /// it admitted.
+    accumulated_fraction: f64,
 }
 
-/// Recent work by customer.
+/// Offered and admitted work by customer, with exponential decay.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Fairness {
     customers: SlotMap<CustomerKey, Customer>,
@@ -33,23 +37,28 @@
 }
 
 impl Fairness {
-    /// Returns the key of a customer and takes over its current share.
+    /// Returns the key of a customer, adding it if it is new, and updates its share.
     pub(crate) fn register_customer(&mut self, name: &str, share: u32) -> CustomerKey {
         let share = share.max(1);
         if let Some(&key) = self.keys_by_name.get(name) {
             self.customers[key].share = share;
             return key;
         }
-        let key =
-            self.customers.insert(Customer { share, offered_ms: 0.0, admitted_ms: 0.0, due: 0.0 });
+        let key = self.customers.insert(Customer {
+            share,
+            offered_ms: 0.0,
+            admitted_ms: 0.0,
+            accumulated_fraction: 0.0,
+        });
         self.keys_by_name.insert(name.to_owned(), key);
         key
     }
 
-    /// Notes offered work; returns the customer's admitted work relative to its share.
+    /// Records offered work and returns how much of its fair share the customer has used.
     ///
-    /// One means exactly its share of what was admitted for all customers that offer work.
-    pub(crate) fn offer(&mut self, now_ms: u64, key: CustomerKey, work_ms: u64) -> f64 {
+    /// One means that it got exactly its fair share of the work admitted for all customers that
+    /// currently offer work.
+    pub(crate) fn on_offered(&mut self, now_ms: u64, key: CustomerKey, work_ms: u64) -> f64 {
         self.decay(now_ms);
         self.customers[key].offered_ms += work_ms as f64;
 
@@ -62,29 +71,30 @@
             }
         }
         let customer = &self.customers[key];
-        // Nobody else wants the part of a customer that is alone.
+        // A customer without competition is never limited.
         if active_shares <= f64::from(customer.share) {
             return 0.0;
         }
-        let part_ms = admitted_ms * f64::from(customer.share) / active_shares.max(1.0);
-        if part_ms > 0.0 { customer.admitted_ms / part_ms } else { 0.0 }
+        let fair_work_ms = admitted_ms * f64::from(customer.share) / active_shares.max(1.0);
+        if fair_work_ms > 0.0 { customer.admitted_ms / fair_work_ms } else { 0.0 }
     }
 
-    /// Admits the given part of a customer's requests, spread evenly.
-    pub(crate) fn thin(&mut self, key: CustomerKey, part: f64) -> bool {
-        if part >= 1.0 {
+    /// Returns whether to admit the next request when this fraction of the customer's requests is
+    /// admitted, evenly spaced.
+    pub(crate) fn admit_fraction(&mut self, key: CustomerKey, fraction: f64) -> bool {
+        if fraction >= 1.0 {
             return true;
         }
         let customer = &mut self.customers[key];
-        customer.due += part;
-        if customer.due < 1.0 {
+        customer.accumulated_fraction += fraction;
+        if customer.accumulated_fraction < 1.0 {
             return false;
         }
-        customer.due -= 1.0;
+        customer.accumulated_fraction -= 1.0;
         true
     }
 
-    /// Notes admitted work.
+    /// Records admitted work.
     pub(crate) fn on_admitted(&mut self, now_ms: u64, key: CustomerKey, work_ms: u64) {
         self.decay(now_ms);
         self.customers[key].admitted_ms += work_ms as f64;
--- a/crates/core/src/admission/tests.rs
+++ b/crates/core/src/admission/tests.rs
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn idle_pool_admits_with_a_plan() {
+fn request_to_an_idle_pool_is_admitted_with_a_plan() {
     let mut entry = entry();
     let customer = entry.admission.register_customer("a", 1);
     let admitted = entry.admit(customer, 0).unwrap();
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn backlog_that_does_not_fit_is_refused_at_once_with_its_drain_time() {
+fn request_behind_too_long_a_backlog_is_refused_with_a_retry_delay_that_grows_with_it() {
     let mut entry = entry();
     let customer = entry.admission.register_customer("a", 1);
     let refusal = entry.admit(customer, 100).unwrap_err();
@@ -44,7 +44,7 @@
 }
 
 #[test]
-fn too_short_deadline_is_refused_by_an_idle_pool() {
+fn deadline_shorter_than_the_run_time_is_refused_even_by_an_idle_pool() {
     let mut entry = entry();
     let customer = entry.admission.register_customer("a", 1);
     let load = PoolLoad { upstreams: 1, outstanding: 0, own: 0, limit: 1 };
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn pool_without_upstreams_is_refused() {
+fn request_to_a_pool_without_upstreams_is_refused() {
     let mut entry = entry();
     let customer = entry.admission.register_customer("a", 1);
     let stage = StageWork { pool: entry.pool, max_tokens: 0, load: PoolLoad::default() };
@@ -64,7 +64,7 @@
 }
 
 #[test]
-fn admitted_requests_count_until_their_stages_are_sent() {
+fn admitted_requests_count_as_backlog_until_their_stages_are_sent() {
     let mut entry = entry();
     let customer = entry.admission.register_customer("a", 1);
     let mut admitted = Vec::new();
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn customer_above_its_share_is_refused_before_the_others() {
+fn customer_above_its_share_is_refused_while_one_below_is_admitted() {
     let mut entry = entry();
     let large = entry.admission.register_customer("large", 1);
     let small = entry.admission.register_customer("small", 1);
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn long_deadlines_do_not_shut_out_short_ones() {
+fn backlog_is_limited_by_the_declared_pipeline_with_the_smallest_slack() {
     let mut entry = entry();
     let customer = entry.admission.register_customer("a", 1);
     let load = PoolLoad { upstreams: 2, outstanding: 40, own: 40, limit: 10 };
--- a/crates/core/tests/admission_fuzz.rs
+++ b/crates/core/tests/admission_fuzz.rs
@@ -1,4 +1,4 @@
-//! Fuzzes admission, estimates and the retry budget against their promises.
+//! Property tests of admission control, run-time estimates and the retry budget.
 
 use proptest::{
     prelude::*,
@@ -14,7 +14,7 @@
 
 const SEED: u64 = 7_004;
 
-/// Range of the advised waiting time, in milliseconds.
+/// Range of the retry delay that a refusal may carry, in milliseconds.
 const RETRY_AFTER_MS: std::ops::RangeInclusive<u64> = 100..=60_000;
 
 fn config() -> Config {
@@ -42,7 +42,7 @@
     #![proptest_config(config())]
 
     #[test]
-    fn admitted_requests_fit_and_refused_ones_did_not_run(
+    fn admitted_requests_fit_their_deadline_and_refused_ones_are_reported_as_not_run(
         usages in prop::collection::vec(usage(), 0..30),
         requests in prop::collection::vec((pool_load(), pool_load(), 0..5_000_u64, 0..3_usize), 1..60),
     ) {
@@ -83,7 +83,7 @@
             prop_assert_eq!(admission.in_progress(), keys.len());
         }
 
-        // Once everything has finished, an idle fleet takes whatever fits.
+        // Once all requests have finished, idle pools admit any request that fits its deadline.
         for key in keys {
             admission.on_stage_sent(key);
             admission.finish(key);
@@ -99,22 +99,22 @@
     }
 
     #[test]
-    fn estimates_stay_between_the_observed_extremes(usages in prop::collection::vec(usage(), 1..300)) {
+    fn estimates_stay_between_1_ms_and_the_longest_observation(usages in prop::collection::vec(usage(), 1..300)) {
         let mut estimates = StageEstimates::new();
         let seed = DeclaredEstimate { estimate_ms: 50, token_estimate_ms: 0 };
         let pool = estimates.register_pool("rerank", seed);
-        let mut most_ms = seed.estimate_ms;
+        let mut max_ms = seed.estimate_ms;
         for usage in usages {
-            most_ms = most_ms.max(usage.engine_ms);
+            max_ms = max_ms.max(usage.engine_ms);
             estimates.on_complete(pool, 0, usage);
             let expected_ms = estimates.expected_ms(pool, 0);
-            prop_assert!((1..=most_ms + 1).contains(&expected_ms));
+            prop_assert!((1..=max_ms + 1).contains(&expected_ms));
             prop_assert!(estimates.conservative_ms(pool, 0) >= expected_ms);
         }
     }
 
     #[test]
-    fn header_never_extends_the_deadline(
+    fn requested_deadline_never_exceeds_the_declared_one(
         arrived_ms in any::<u64>(),
         declared_ms in any::<u64>(),
         requested_ms in prop::option::of(any::<u64>()),
@@ -124,21 +124,21 @@
     }
 
     #[test]
-    fn repeated_attempts_stay_a_fraction_of_the_completed(
-        per_hundred in 0..50_u32,
+    fn granted_retries_stay_within_their_fraction_of_the_completed_stages(
+        retries_per_hundred in 0..50_u32,
         events in prop::collection::vec(any::<bool>(), 1..500),
     ) {
-        let mut budget = RetryBudget::new(per_hundred, 1);
+        let mut budget = RetryBudget::new(retries_per_hundred, 1);
         let mut completed = 0;
-        let mut spent = 0;
+        let mut granted = 0;
         for is_completion in events {
             if is_completion {
                 completed += 1;
                 budget.on_completed(true);
             } else if budget.try_retry() {
-                spent += 1;
+                granted += 1;
             }
-            prop_assert!(spent * 100 <= completed * per_hundred + 100);
+            prop_assert!(granted * 100 <= completed * retries_per_hundred + 100);
         }
     }
 }
