--- a/crates/core/src/queue/tests.rs
+++ b/crates/core/src/queue/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn earliest_deadline_goes_first() {
+fn entries_of_one_customer_are_popped_by_earliest_deadline() {
     let mut queue = Queue::new(8);
     let customer = queue.register_customer("a", 1);
     for (number, deadline_ms) in [(1, 300), (2, 100), (3, 200)] {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn small_customer_is_not_starved_by_earlier_deadlines_of_a_large_one() {
+fn customer_with_few_entries_is_not_starved_by_earlier_deadlines_of_a_backlogged_one() {
     let mut queue = Queue::new(200);
     let large = queue.register_customer("large", 1);
     let small = queue.register_customer("small", 1);
@@ -46,18 +46,18 @@
         queue.push(0, entry).unwrap();
     }
 
-    let mut small_among_first = 0;
+    let mut popped_of_small = 0;
     for _ in 0..60 {
         let next = queue.pop(0).unwrap();
         if next.entry.customer == small {
-            small_among_first += 1;
+            popped_of_small += 1;
         }
     }
-    assert_eq!(small_among_first, 10);
+    assert_eq!(popped_of_small, 10);
 }
 
 #[test]
-fn exclusive_entry_waits_for_the_others_and_holds_back_the_next() {
+fn exclusive_entry_waits_for_running_ones_and_blocks_later_ones() {
     let mut queue = Queue::new(8);
     let customer = queue.register_customer("a", 1);
     queue.push(0, entry(customer, 1, 100)).unwrap();
@@ -75,23 +75,23 @@
 }
 
 #[test]
-fn late_entries_are_refused_passed_over_and_dropped() {
+fn expired_entries_are_rejected_by_push_skipped_by_pop_and_removed_by_expire() {
     let mut queue = Queue::new(8);
     let customer = queue.register_customer("a", 1);
     assert_eq!(queue.push(95, entry(customer, 1, 100)), Err(Reason::DeadlineUnreachable));
 
-    let late = queue.push(50, entry(customer, 2, 100)).unwrap().key;
+    let expiring = queue.push(50, entry(customer, 2, 100)).unwrap().key;
     assert_eq!(queue.next_expiry_ms(), Some(91));
     assert!(queue.expire(90).is_empty());
     assert_eq!(queue.pop(91), None);
     let dropped = queue.expire(91);
-    assert_eq!(dropped[0].key, late);
+    assert_eq!(dropped[0].key, expiring);
     assert_eq!(dropped[0].reason, Reason::DeadlineUnreachable);
     assert_eq!(queue.queued(), 0);
 }
 
 #[test]
-fn full_queue_makes_room_for_a_customer_below_its_part() {
+fn full_queue_evicts_the_latest_entry_for_a_customer_below_its_quota() {
     let mut queue = Queue::new(4);
     let large = queue.register_customer("large", 1);
     let small = queue.register_customer("small", 1);
@@ -109,7 +109,7 @@
 }
 
 #[test]
-fn drain_returns_only_what_waits() {
+fn drain_returns_waiting_entries_and_keeps_running_ones() {
     let mut queue = Queue::new(8);
     let customer = queue.register_customer("a", 1);
     for number in 1..4 {
--- a/crates/core/tests/queue_fuzz.rs
+++ b/crates/core/tests/queue_fuzz.rs
@@ -1,4 +1,4 @@
-//! Fuzzes the queue against an oracle that knows only its promises.
+//! Property tests of the queue against an oracle that checks only its documented guarantees.
 
 use std::cell::Cell;
 
@@ -19,10 +19,10 @@
 const SHARES: [u32; 4] = [1, 1, 2, 4];
 
 /// Work by which a backlogged customer may be ahead of another, in milliseconds.
-const LEAD_MS: f64 = 8_000.0;
+const MAX_LEAD_MS: f64 = 8_000.0;
 
-/// Longest call in the test of shares, in milliseconds.
-const LONGEST_MS: u64 = 4_000;
+/// Longest estimate in the test of shares, in milliseconds.
+const MAX_ESTIMATE_MS: u64 = 4_000;
 
 #[derive(Clone, Debug)]
 struct PushSpec {
@@ -86,11 +86,11 @@
     fn apply((): (), _: &Event) {}
 }
 
-fn is_late(entry: &QueueEntry, now_ms: u64) -> bool {
+fn is_expired(entry: &QueueEntry, now_ms: u64) -> bool {
     now_ms + entry.estimate_ms > entry.deadline_ms || now_ms > entry.dispatch_by_ms
 }
 
-/// Entries that wait or run, as the caller of the queue knows them.
+/// Waiting and running entries, as recorded by the caller of the queue.
 #[derive(Default)]
 struct Oracle {
     waiting: FastMap<EntryKey, QueueEntry>,
@@ -102,8 +102,9 @@
         self.waiting.values().filter(|it| it.customer == customer).count() as u64
     }
 
-    /// Returns the part of the queue that `customer` may claim beside those that wait and `newcomer`.
-    fn part(&self, sut: &Sut, customer: CustomerKey, newcomer: CustomerKey) -> u64 {
+    /// Returns the quota of `customer` when `newcomer` and all customers with waiting entries
+    /// compete.
+    fn quota(&self, sut: &Sut, customer: CustomerKey, newcomer: CustomerKey) -> u64 {
         let mut active = 0;
         for (key, share) in sut.customers.iter().zip(SHARES) {
             if *key == newcomer || self.waiting_of(*key) > 0 {
@@ -115,15 +116,21 @@
     }
 
     fn check_pop(&self, now_ms: u64, entry: &QueueEntry) {
-        assert!(!is_late(entry, now_ms), "started too late to finish");
-        assert!(!self.running.values().any(|it| it.exclusive), "started beside an exclusive entry");
+        assert!(!is_expired(entry, now_ms), "started after expiry");
+        assert!(
+            !self.running.values().any(|it| it.exclusive),
+            "started while an exclusive entry was running"
+        );
         if entry.exclusive {
-            assert!(self.running.is_empty(), "exclusive entry started beside others");
+            assert!(self.running.is_empty(), "exclusive entry started while others were running");
             return;
         }
         for other in self.waiting.values().filter(|it| it.customer == entry.customer) {
             let is_earlier = other.deadline_ms < entry.deadline_ms;
-            assert!(!is_earlier || is_late(other, now_ms), "overtook an earlier deadline");
+            assert!(
+                !is_earlier || is_expired(other, now_ms),
+                "started before an entry of the same customer with an earlier deadline"
+            );
         }
     }
 
@@ -131,9 +138,12 @@
         if self.running.values().any(|it| it.exclusive) {
             return;
         }
-        let mut startable = self.waiting.values().filter(|it| !is_late(it, now_ms));
+        let mut startable = self.waiting.values().filter(|it| !is_expired(it, now_ms));
         let waits_for_idle = startable.clone().any(|it| it.exclusive) && !self.running.is_empty();
-        assert!(waits_for_idle || startable.next().is_none(), "nothing started although it could");
+        assert!(
+            waits_for_idle || startable.next().is_none(),
+            "nothing was popped although an entry could start"
+        );
     }
 }
 
@@ -190,28 +200,31 @@
     fn push(&mut self, oracle: &mut Oracle, spec: &PushSpec) {
         let entry = self.entry(spec);
         let waiting = oracle.waiting.len() as u64;
-        let held = oracle.waiting_of(entry.customer);
-        let part = oracle.part(self, entry.customer, entry.customer);
+        let waiting_of_customer = oracle.waiting_of(entry.customer);
+        let quota = oracle.quota(self, entry.customer, entry.customer);
         let pushed = match self.queue.push(self.now_ms, entry) {
             Ok(pushed) => pushed,
             Err(Reason::DeadlineUnreachable | Reason::DispatchExpired) => {
-                assert!(is_late(&entry, self.now_ms), "refused although it fits");
+                assert!(is_expired(&entry, self.now_ms), "rejected as expired before expiry");
                 return;
             }
             Err(reason) => {
                 assert!(matches!(reason, Reason::Busy | Reason::CustomerShare));
-                assert!(waiting >= u64::from(MAX_QUEUED), "refused by a queue with room");
-                assert!(held >= part, "refused a customer below its part");
+                assert!(waiting >= u64::from(MAX_QUEUED), "rejected by a queue that is not full");
+                assert!(
+                    waiting_of_customer >= quota,
+                    "rejected an entry of a customer below its quota"
+                );
                 return;
             }
         };
 
-        assert!(!is_late(&entry, self.now_ms), "accepted although it is too late");
+        assert!(!is_expired(&entry, self.now_ms), "accepted after expiry");
         if let Some(evicted) = pushed.evicted {
-            let evicted_part = oracle.part(self, evicted.entry.customer, entry.customer);
+            let evicted_quota = oracle.quota(self, evicted.entry.customer, entry.customer);
             assert!(
-                oracle.waiting_of(evicted.entry.customer) > evicted_part,
-                "evicted within part"
+                oracle.waiting_of(evicted.entry.customer) > evicted_quota,
+                "evicted an entry of a customer within its quota"
             );
             let removed = oracle.waiting.remove(&evicted.key);
             assert_eq!(removed, Some(evicted.entry));
@@ -224,17 +237,25 @@
             oracle.check_nothing_popped(self.now_ms);
             return;
         };
-        assert_eq!(oracle.waiting.remove(&next.key), Some(next.entry), "started what did not wait");
+        assert_eq!(
+            oracle.waiting.remove(&next.key),
+            Some(next.entry),
+            "popped an entry that was not waiting"
+        );
         oracle.check_pop(self.now_ms, &next.entry);
         oracle.running.insert(next.key, next.entry);
     }
 
     fn expire(&mut self, oracle: &mut Oracle) {
         for dropped in self.queue.expire(self.now_ms) {
-            let removed = oracle.waiting.remove(&dropped.key).expect("dropped what did not wait");
-            assert!(is_late(&removed, self.now_ms), "dropped although it fits");
+            let removed =
+                oracle.waiting.remove(&dropped.key).expect("removed an entry that was not waiting");
+            assert!(is_expired(&removed, self.now_ms), "removed before expiry");
         }
-        assert!(!oracle.waiting.values().any(|it| is_late(it, self.now_ms)), "kept a late entry");
+        assert!(
+            !oracle.waiting.values().any(|it| is_expired(it, self.now_ms)),
+            "kept an expired entry"
+        );
     }
 
     fn apply_event(&mut self, oracle: &mut Oracle, event: &Event) {
@@ -261,7 +282,7 @@
                 }
             }
         }
-        assert!(self.queue.queued() <= MAX_QUEUED, "more entries than the limit");
+        assert!(self.queue.queued() <= MAX_QUEUED, "more waiting entries than the limit");
         assert_eq!(self.queue.queued() as usize, oracle.waiting.len());
         assert_eq!(self.queue.running() as usize, oracle.running.len());
     }
@@ -306,24 +327,24 @@
     result.map_err(|it| it.to_string())
 }
 
-/// Keeps all customers backlogged and compares the work that each was given per share.
+/// Keeps all customers backlogged and compares the work per share that was started for each.
 fn run_fairness(sabotage: Sabotage) -> Result<(), String> {
     SABOTAGE.set(sabotage);
     let strategy = prop::collection::vec((push_spec(), 1..1_000_u64), 200..400);
     let result = TestRunner::new(config()).run(&strategy, |specs| {
         let mut sut = Sut::new(10_000);
-        let mut left = [0; SHARES.len()];
+        let mut remaining = [0; SHARES.len()];
         for (spec, extra_ms) in &specs {
             let spec = PushSpec {
                 slack_ms: 1_000_000 + spec.slack_ms + extra_ms * spec.customer as u64,
                 dispatch_ms: 10_000_000,
-                estimate_ms: LONGEST_MS / 100 * spec.estimate_ms,
+                estimate_ms: MAX_ESTIMATE_MS / 100 * spec.estimate_ms,
                 exclusive: false,
                 ..spec.clone()
             };
             let entry = sut.entry(&spec);
             sut.queue.push(0, entry).unwrap();
-            left[spec.customer] += 1;
+            remaining[spec.customer] += 1;
         }
 
         let mut work_per_share = [0.0; SHARES.len()];
@@ -332,14 +353,14 @@
             let customer = sut.customers.iter().position(|it| *it == next.entry.customer).unwrap();
             let work = next.entry.estimate_ms as f64 / f64::from(SHARES[customer]);
             work_per_share[customer] += work;
-            left[customer] -= 1;
-            if left.contains(&0) {
+            remaining[customer] -= 1;
+            if remaining.contains(&0) {
                 break;
             }
-            let least = work_per_share.iter().copied().fold(f64::MAX, f64::min);
+            let min_work = work_per_share.iter().copied().fold(f64::MAX, f64::min);
             for (work, share) in work_per_share.iter().zip(SHARES) {
-                let bound = LEAD_MS / f64::from(share) + 2.0 * LONGEST_MS as f64;
-                prop_assert!(work - least <= bound, "lead of {}", work - least);
+                let bound = MAX_LEAD_MS / f64::from(share) + 2.0 * MAX_ESTIMATE_MS as f64;
+                prop_assert!(work - min_work <= bound, "lead of {} ms per share", work - min_work);
             }
         }
         Ok(())
@@ -348,18 +369,18 @@
 }
 
 #[test]
-fn every_entry_leaves_once_and_starts_only_in_time() {
+fn entries_start_only_before_expiry_and_leave_the_queue_exactly_once() {
     run(Sabotage::None).unwrap();
 }
 
 #[test]
-fn backlogged_customers_receive_work_by_share() {
+fn backlogged_customers_get_work_in_proportion_to_their_shares() {
     run_fairness(Sabotage::None).unwrap();
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn oracle_notices_each_disabled_mechanism() {
+fn each_disabled_mechanism_is_detected() {
     let mechanisms = [
         Sabotage::IgnoreExclusive,
         Sabotage::StartExpired,
@@ -367,7 +388,7 @@
         Sabotage::Unbounded,
     ];
     for sabotage in mechanisms {
-        assert!(run(sabotage).is_err(), "{sabotage:?} went unnoticed");
+        assert!(run(sabotage).is_err(), "{sabotage:?} was not detected");
     }
     assert!(run_fairness(Sabotage::IgnoreShares).is_err());
 }
