--- a/crates/core/src/accounting/mod.rs
+++ b/crates/core/src/accounting/mod.rs
@@ -1,4 +1,4 @@
-//! Cost by stage and deadline attainment by pipeline and customer.
+//! Counters of resource cost by stage and of deadline attainment by pipeline and customer.
 
 #[cfg(test)]
 mod tests;
@@ -9,83 +9,85 @@
     outcome::{Reason, Usage},
 };
 
-/// Names the stage of a pipeline on behalf of a customer.
+/// Identifies a pipeline stage and customer in the cost counters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct StageLabel {
-    /// Pipeline or service.
+    /// Name of the pipeline or service.
     pub pipeline: String,
-    /// Customer.
+    /// Name of the customer.
     pub customer: String,
-    /// Stage of the pipeline.
+    /// Position of the stage in the pipeline.
     pub stage: StageIndex,
 }
 
-/// Names a pipeline on behalf of a customer.
+/// Identifies a pipeline and customer in the attainment counters.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct RequestLabel {
-    /// Pipeline or service.
+    /// Name of the pipeline or service.
     pub pipeline: String,
-    /// Customer.
+    /// Name of the customer.
     pub customer: String,
 }
 
-/// Whether the work of an attempt served its request.
+/// Whether the work of an attempt contributed to a timely response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WorkOutcome {
-    /// The result went into an answer that was on time.
+    /// The result contributed to a response that met the deadline.
     Used,
-    /// The attempt failed or was abandoned, or the answer was late.
+    /// The attempt failed or was abandoned, or the response missed the deadline.
     Wasted,
 }
 
-/// Cost of the attempts of one stage.
+/// Total cost of the attempts of one stage.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct StageCost {
-    /// Attempts that ran.
+    /// Number of attempts that ran.
     pub attempts: u64,
-    /// Time that they spent at upstreams, in milliseconds.
+    /// Time spent at upstreams, in milliseconds.
     pub engine_ms: u64,
-    /// Tokens that they produced.
+    /// Number of generated tokens.
     pub tokens: u64,
-    /// Time that they waited in agents, in milliseconds.
+    /// Time spent in the queues of agents, in milliseconds.
     pub queued_ms: u64,
-    /// Part of the time at upstreams that served no answer in time, in milliseconds.
+    /// Part of [`engine_ms`](Self::engine_ms) that contributed to no timely response, in
+    /// milliseconds.
     pub wasted_ms: u64,
 }
 
-/// How a request ended for its caller.
+/// Outcome of a request for its caller.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum RequestOutcome {
-    /// The whole answer was given before the deadline.
+    /// The response was complete by the deadline.
     OnTime,
-    /// The whole answer was given after the deadline.
+    /// The response was complete after the deadline.
     Late,
-    /// The request ended without an answer although it may have run.
+    /// The request got no complete response although it may have run.
     Failed(Reason),
-    /// The request was refused as not run.
+    /// The request was refused without having run.
     Refused(Reason),
 }
 
-/// Ends of the requests of one pipeline and customer.
+/// Numbers of requests of one pipeline and customer by outcome.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Attainment {
-    /// Requests answered before their deadline.
+    /// Requests whose response met the deadline.
     pub on_time: u64,
-    /// Requests answered after their deadline.
+    /// Requests whose response missed the deadline.
     pub late: u64,
-    /// Requests that may have run but got no answer, by reason.
+    /// Requests that may have run but got no complete response, by reason.
     pub failed: FastMap<Reason, u64>,
-    /// Requests that were refused as not run, by reason.
+    /// Requests that were refused without having run, by reason.
     pub refused: FastMap<Reason, u64>,
 }
 
 impl Attainment {
-    /// Returns the number of requests that were taken on.
+    /// Returns the number of requests that were not refused.
     pub fn accepted(&self) -> u64 {
         self.on_time + self.late + self.failed.values().sum::<u64>()
     }
 
-    /// Returns the part of the accepted requests that were answered on time.
+    /// Returns the fraction of the accepted requests whose response met the deadline; one if there
+    /// are none.
     pub fn on_time_fraction(&self) -> f64 {
         match self.accepted() {
             0 => 1.0,
@@ -94,7 +96,7 @@
     }
 }
 
-/// Counters of cost and attainment, which only grow.
+/// Monotonic counters of cost and attainment.
 #[derive(Clone, Debug, Default)]
 pub struct CostLedger {
     stages: FastMap<StageLabel, StageCost>,
@@ -102,13 +104,13 @@
 }
 
 impl CostLedger {
-    /// Creates a ledger without entries.
+    /// Creates an empty ledger.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Counts an attempt that ran, once the worth of its work is known.
-    pub fn on_attempt(&mut self, label: &StageLabel, usage: Usage, worth: WorkOutcome) {
+    /// Counts an attempt that ran, once the outcome of its work is known.
+    pub fn on_attempt(&mut self, label: &StageLabel, usage: Usage, outcome: WorkOutcome) {
         if !self.stages.contains_key(label) {
             self.stages.insert(label.clone(), StageCost::default());
         }
@@ -117,18 +119,18 @@
         cost.engine_ms += usage.engine_ms;
         cost.tokens += usage.tokens;
         cost.queued_ms += usage.queued_ms;
-        if worth == WorkOutcome::Wasted {
+        if outcome == WorkOutcome::Wasted {
             cost.wasted_ms += usage.engine_ms;
         }
     }
 
-    /// Counts the end of a request.
-    pub fn on_request(&mut self, label: &RequestLabel, end: RequestOutcome) {
+    /// Counts a finished request by its outcome.
+    pub fn on_request(&mut self, label: &RequestLabel, outcome: RequestOutcome) {
         if !self.requests.contains_key(label) {
             self.requests.insert(label.clone(), Attainment::default());
         }
         let Some(attainment) = self.requests.get_mut(label) else { return };
-        match end {
+        match outcome {
             RequestOutcome::OnTime => attainment.on_time += 1,
             RequestOutcome::Late => attainment.late += 1,
             RequestOutcome::Failed(reason) => *attainment.failed.entry(reason).or_default() += 1,
@@ -136,14 +138,14 @@
         }
     }
 
-    /// Returns the cost by stage, in the order of the labels.
+    /// Returns the cost by stage, sorted by label.
     pub fn stages(&self) -> Vec<(&StageLabel, &StageCost)> {
         let mut stages: Vec<_> = self.stages.iter().collect();
         stages.sort_unstable_by_key(|(label, _)| *label);
         stages
     }
 
-    /// Returns the attainment by pipeline and customer, in the order of the labels.
+    /// Returns the attainment by pipeline and customer, sorted by label.
     pub fn requests(&self) -> Vec<(&RequestLabel, &Attainment)> {
         let mut requests: Vec<_> = self.requests.iter().collect();
         requests.sort_unstable_by_key(|(label, _)| *label);
--- a/crates/core/src/accounting/tests.rs
+++ b/crates/core/src/accounting/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn cost_adds_up_by_stage() {
+fn attempts_of_one_stage_add_up_and_wasted_time_is_counted_apart() {
     let mut ledger = CostLedger::new();
     let label =
         StageLabel { pipeline: "report".into(), customer: "a".into(), stage: StageIndex(2) };
@@ -15,18 +15,18 @@
 }
 
 #[test]
-fn attainment_counts_refusals_apart() {
+fn refused_requests_do_not_count_as_accepted() {
     let mut ledger = CostLedger::new();
     let label = RequestLabel { pipeline: "report".into(), customer: "a".into() };
-    let ends = [
+    let outcomes = [
         RequestOutcome::OnTime,
         RequestOutcome::OnTime,
         RequestOutcome::OnTime,
         RequestOutcome::Late,
         RequestOutcome::Refused(Reason::DeadlineUnreachable),
     ];
-    for end in ends {
-        ledger.on_request(&label, end);
+    for outcome in outcomes {
+        ledger.on_request(&label, outcome);
     }
     let (_, attainment) = ledger.requests()[0];
     assert_eq!(attainment.accepted(), 4);
--- a/crates/core/src/deadline/mod.rs
+++ b/crates/core/src/deadline/mod.rs
@@ -1,4 +1,4 @@
-//! Division of a request's deadline over its stages.
+//! Run-time estimates and the division of a request's deadline among its stages.
 
 mod estimates;
 mod plan;
@@ -10,9 +10,9 @@
     plan::{Plan, StagePlan},
 };
 
-/// Returns the time by which a request has to be answered, in milliseconds.
+/// Returns the deadline of a request, in milliseconds.
 ///
-/// The caller may ask for less than the declared time but not for more.
+/// The caller may request a shorter time than the declared one, but not a longer one.
 pub fn effective_deadline_ms(arrived_ms: u64, declared_ms: u64, requested_ms: Option<u64>) -> u64 {
     let allowed_ms = requested_ms.map_or(declared_ms, |it| it.min(declared_ms));
     arrived_ms.saturating_add(allowed_ms)
--- a/crates/core/src/deadline/tests.rs
+++ b/crates/core/src/deadline/tests.rs
@@ -1,17 +1,17 @@
 use super::*;
 use crate::outcome::Usage;
 
-const SEED: DeclaredEstimate = DeclaredEstimate { estimate_ms: 100, token_estimate_ms: 10 };
+const DECLARED: DeclaredEstimate = DeclaredEstimate { estimate_ms: 100, token_estimate_ms: 10 };
 
 #[test]
-fn header_only_shortens_the_deadline() {
+fn requested_deadline_shortens_the_declared_one_but_never_extends_it() {
     assert_eq!(effective_deadline_ms(50, 1_000, None), 1_050);
     assert_eq!(effective_deadline_ms(50, 1_000, Some(400)), 450);
     assert_eq!(effective_deadline_ms(50, 1_000, Some(9_000)), 1_050);
 }
 
 #[test]
-fn plan_leaves_the_later_stages_their_time() {
+fn plan_reserves_the_expected_time_of_later_stages() {
     let plan = Plan::new(0, 1_000, &[100, 300]);
     assert_eq!(plan.stages[0].start_by_ms, 600);
     assert_eq!(plan.stages[0].finish_by_ms, 700);
@@ -24,9 +24,9 @@
 }
 
 #[test]
-fn estimates_start_at_the_seed_and_follow_completions() {
+fn estimates_start_at_the_declared_values_and_follow_completed_calls() {
     let mut estimates = StageEstimates::new();
-    let pool = estimates.register_pool("generate", SEED);
+    let pool = estimates.register_pool("generate", DECLARED);
     assert_eq!(estimates.expected_ms(pool, 40), 500);
 
     let usage = Usage { engine_ms: 600, queued_ms: 30, tokens: 20 };
@@ -36,13 +36,13 @@
     assert!(estimates.expected_ms(pool, 40).abs_diff(600) <= 5);
     assert!(estimates.conservative_ms(pool, 40) >= estimates.expected_ms(pool, 40));
     assert!(estimates.mean_queued_ms(pool).abs_diff(30) <= 1);
-    assert_eq!(estimates.register_pool("generate", SEED), pool);
+    assert_eq!(estimates.register_pool("generate", DECLARED), pool);
 }
 
 #[test]
-fn estimates_without_completions_return_to_the_seed() {
+fn estimates_without_new_samples_decay_to_the_declared_values() {
     let mut estimates = StageEstimates::new();
-    let pool = estimates.register_pool("generate", SEED);
+    let pool = estimates.register_pool("generate", DECLARED);
     for _ in 0..400 {
         estimates.on_complete(pool, 40, Usage { engine_ms: 60_000, queued_ms: 0, tokens: 40 });
     }
--- a/crates/core/src/hedge/mod.rs
+++ b/crates/core/src/hedge/mod.rs
@@ -1,7 +1,7 @@
-//! Second attempts of idempotent stages that take unusually long.
+//! Hedging: a second attempt of an idempotent stage when the first takes unusually long.
 //!
-//! Hedges and retries spend the same budget, a fraction of the completed attempts, so that a slow
-//! stage does not receive a multiple of its load.
+//! Hedges and retries share one budget, a fraction of the completed stages, so that a slow stage
+//! does not receive a multiple of its load.
 
 mod latency;
 #[cfg(test)]
@@ -12,36 +12,36 @@
 use crate::attempt::RetryBudget;
 pub use crate::hedge::latency::RecentLatency;
 
-/// Shortest time after which a stage is hedged, in milliseconds.
+/// Shortest delay after which a stage is hedged, in milliseconds.
 ///
-/// It leaves time to learn that the upstream has stopped, so that a request that stops upstreams is
-/// not sent to a second one before its first strike is known.
+/// The delay leaves time to detect that the upstream has crashed, so that a request that crashes
+/// upstreams is not sent to a second one before its first strike is known.
 const MIN_HEDGE_DELAY_MS: u64 = 100;
 
-/// Attempt that may be hedged.
+/// A running attempt for which a hedge is considered.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct HedgeQuery {
-    /// Whether the call may be repeated.
+    /// Whether the call is idempotent.
     pub idempotent: bool,
-    /// Whether the attempt already has a second one beside it.
+    /// Whether a second attempt of the stage is already running.
     pub hedged: bool,
     /// Time at which the attempt was sent, in milliseconds.
     pub sent_ms: u64,
     /// Expected duration of the attempt, in milliseconds.
     pub expected_ms: u64,
-    /// Time by which the stage has to finish, in milliseconds.
+    /// Latest finish of the stage, in milliseconds.
     pub finish_by_ms: u64,
-    /// Whether another upstream has room.
+    /// Whether another upstream has free capacity.
     pub other_has_room: bool,
 }
 
-/// What to do about a running attempt.
+/// Decision about hedging a running attempt.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum HedgeDecision {
     /// Send a second attempt to another upstream now; the budget has been charged.
     #[display("hedge")]
     Hedge,
-    /// Ask again at this time, in milliseconds.
+    /// Decide again at this time, in milliseconds.
     #[display("wait until {_0} ms")]
     WaitUntil(u64),
     /// Never hedge the attempt.
@@ -53,21 +53,21 @@
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "snake_case")]
 pub enum NoHedge {
-    /// The call may not be repeated.
+    /// The call is not idempotent.
     NotIdempotent,
-    /// There is a second attempt already.
+    /// A second attempt is already running.
     AlreadyHedged,
-    /// A second attempt would not finish in time.
+    /// A second attempt is not expected to finish in time.
     TooLate,
-    /// No other upstream has room.
+    /// No other upstream has free capacity.
     NoRoom,
-    /// The budget is spent.
+    /// The retry budget is exhausted.
     Budget,
 }
 
-/// Decides about a second attempt for one that runs, and charges the budget for it.
+/// Decides whether to hedge a running attempt, and charges the budget if so.
 ///
-/// The attempt that loses has to be cancelled as soon as the other one completes.
+/// The caller has to cancel the other attempt as soon as one of the two completes.
 pub fn decide(
     now_ms: u64,
     query: &HedgeQuery,
--- a/crates/core/src/hedge/tests.rs
+++ b/crates/core/src/hedge/tests.rs
@@ -18,17 +18,17 @@
 }
 
 #[test]
-fn hedges_after_the_p95_and_charges_the_budget() {
+fn attempt_is_hedged_after_the_p95_latency_until_the_budget_is_exhausted() {
     let mut budget = RetryBudget::new(20, 1);
     let latency = latency();
     assert_eq!(decide(0, &QUERY, &latency, &mut budget), HedgeDecision::WaitUntil(196));
     assert_eq!(decide(196, &QUERY, &latency, &mut budget), HedgeDecision::Hedge);
-    let spent = HedgeDecision::No(NoHedge::Budget);
-    assert_eq!(decide(196, &QUERY, &latency, &mut budget), spent);
+    let exhausted = HedgeDecision::No(NoHedge::Budget);
+    assert_eq!(decide(196, &QUERY, &latency, &mut budget), exhausted);
 }
 
 #[test]
-fn refuses_what_may_not_or_need_not_be_repeated() {
+fn ineligible_attempt_is_not_hedged_and_the_budget_is_not_charged() {
     let cases = [
         (HedgeQuery { idempotent: false, ..QUERY }, NoHedge::NotIdempotent),
         (HedgeQuery { hedged: true, ..QUERY }, NoHedge::AlreadyHedged),
@@ -43,13 +43,13 @@
 }
 
 #[test]
-fn budget_is_a_fraction_of_completions() {
+fn granted_retries_are_the_configured_fraction_of_completed_stages() {
     let mut budget = RetryBudget::new(20, 1);
     assert!(budget.try_retry());
-    let mut spent = 0;
+    let mut granted = 0;
     for _ in 0..1_000 {
         budget.on_completed(true);
-        spent += u32::from(budget.try_retry());
+        granted += u32::from(budget.try_retry());
     }
-    assert_eq!(spent, 200);
+    assert_eq!(granted, 200);
 }
