--- a/crates/core/src/agent/probing.rs
+++ b/crates/core/src/agent/probing.rs
@@ -59,6 +59,6 @@
         }
         let Some(stop) = stop else { return Vec::new() };
         let agent = self.settings.incarnation;
-        self.quarantine.on_stop(agent, stop.number, &stop.in_progress, now_ms)
+        self.quarantine.on_crash(agent, stop.number, &stop.in_progress, now_ms)
     }
 }
--- a/crates/core/src/quarantine/crashes.rs
+++ b/crates/core/src/quarantine/crashes.rs
@@ -103,7 +103,7 @@
             return false;
         }
         // A run of an upstream crashes once.
-        !self.quarantine.on_stop(upstream, 1, &[fingerprint], now_ms).is_empty()
+        !self.quarantine.on_crash(upstream, 1, &[fingerprint], now_ms).is_empty()
     }
 
     /// Notes that a request completed; `fingerprint` is only needed while strikes are held.
--- a/crates/core/src/quarantine/registry.rs
+++ b/crates/core/src/quarantine/registry.rs
@@ -128,7 +128,7 @@
     ///
     /// `in_progress` names every request that the upstream had been handed and that had not ended,
     /// also those cancelled without the upstream's confirmation. Returns the new strikes.
-    pub fn on_stop(
+    pub fn on_crash(
         &mut self,
         agent: Incarnation,
         number: u32,
--- a/crates/core/src/quarantine/tests.rs
+++ b/crates/core/src/quarantine/tests.rs
@@ -17,11 +17,11 @@
     let (poison, innocent) = (fingerprint(1), fingerprint(2));
     let mut quarantine = Quarantine::new(LIMITS);
     assert_eq!(quarantine.admit(poison, 0), Admission::Normal);
-    assert_eq!(quarantine.on_stop(A, 1, &[poison, innocent], 0).len(), 2);
+    assert_eq!(quarantine.on_crash(A, 1, &[poison, innocent], 0).len(), 2);
     assert_eq!(quarantine.admit(poison, 1), Admission::Exclusive);
     assert_eq!(quarantine.admit(innocent, 1), Admission::Exclusive);
     quarantine.on_complete(innocent);
-    quarantine.on_stop(B, 1, &[poison], 2);
+    quarantine.on_crash(B, 1, &[poison], 2);
     assert_eq!(quarantine.admit(poison, 3), Admission::Refused);
     assert_eq!(quarantine.admit(innocent, 3), Admission::Normal);
 }
@@ -31,7 +31,7 @@
     let innocent = fingerprint(9);
     let mut quarantine = Quarantine::new(LIMITS);
     for number in 0..3 {
-        quarantine.on_stop(A, number, &[innocent, fingerprint(number as u8)], 0);
+        quarantine.on_crash(A, number, &[innocent, fingerprint(number as u8)], 0);
     }
     assert_eq!(quarantine.admit(innocent, 0), Admission::Exclusive);
 }
@@ -39,7 +39,7 @@
 #[test]
 fn copies_of_one_request_count_as_alone() {
     let mut quarantine = Quarantine::new(LIMITS);
-    let strikes = quarantine.on_stop(A, 1, &[fingerprint(1), fingerprint(1)], 0);
+    let strikes = quarantine.on_crash(A, 1, &[fingerprint(1), fingerprint(1)], 0);
     assert_eq!(strikes.len(), 1);
     assert!(strikes[0].alone);
 }
@@ -49,7 +49,7 @@
     let poison = fingerprint(1);
     let mut here = Quarantine::new(LIMITS);
     let mut there = Quarantine::new(LIMITS);
-    let strikes = here.on_stop(A, 1, &[poison], 0);
+    let strikes = here.on_crash(A, 1, &[poison], 0);
     there.merge(&strikes, 0);
     there.merge(&strikes, 5);
     assert_eq!((there.len(), there.admit(poison, 5)), (1, Admission::Exclusive));
@@ -65,7 +65,7 @@
     let poison = fingerprint(1);
     let mut here = Quarantine::new(LIMITS);
     let mut there = Quarantine::new(LIMITS);
-    here.on_stop(A, 1, &[poison], 0);
+    here.on_crash(A, 1, &[poison], 0);
     there.merge(&here.recent_strikes(499), 499);
     assert_eq!(here.recent_strikes(500), Vec::new());
     assert_eq!(there.recent_strikes(500), Vec::new());
@@ -79,7 +79,7 @@
 fn the_oldest_strikes_are_forgotten_first() {
     let mut quarantine = Quarantine::new(LIMITS);
     for byte in 0..6 {
-        quarantine.on_stop(A, u32::from(byte), &[fingerprint(byte)], u64::from(byte));
+        quarantine.on_crash(A, u32::from(byte), &[fingerprint(byte)], u64::from(byte));
     }
     assert_eq!(quarantine.len(), 4);
     assert_eq!(quarantine.admit(fingerprint(1), 6), Admission::Normal);
--- a/crates/core/tests/quarantine_fuzz.rs
+++ b/crates/core/tests/quarantine_fuzz.rs
@@ -181,7 +181,7 @@
         self.stops[agent] += 1;
         let number = self.stops[agent];
         let process = &mut self.processes[ENTRIES + agent];
-        process.on_stop(agent_run(agent), number, &fingerprints, self.now_ms);
+        process.on_crash(agent_run(agent), number, &fingerprints, self.now_ms);
         if requests.len() == 1 {
             self.unlucky.extend(&requests);
         }
