--- a/crates/core/src/hedge/latency.rs
+++ b/crates/core/src/hedge/latency.rs
@@ -24,7 +24,7 @@
         Self::default()
     }
 
-    /// Records the latency of a completed attempt, from the submit to the end of the response.
+    /// Records the latency of a completed attempt, from its submit to its completion.
     pub fn on_complete(&mut self, latency_ms: u64, expected_ms: u64) {
         if self.ratios.len() == MAX_SAMPLES {
             self.ratios.pop_front();
