--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -216,7 +216,7 @@
         let upcoming = self.upcoming.get(&stage.pool).copied().unwrap_or(0);
         let upcoming = u64::from(upcoming) * entries_in_use(&stage.load);
         let ahead = u64::from(stage.load.outstanding) + upcoming;
-        let limit = u64::from(stage.load.limit.max(1));
+        let limit = u64::from(stage.load.projected_limit.max(1));
         if ahead < limit {
             return 0;
         }
@@ -285,7 +285,7 @@
 ///
 /// What the others have admitted and not sent is not reported, so this entry's own stands for it.
 fn entries_in_use(load: &PoolLoad) -> u64 {
-    let entries = u64::from(load.outstanding) / u64::from(load.own.max(1));
+    let entries = u64::from(load.outstanding) / u64::from(load.own_outstanding.max(1));
     entries.clamp(1, MAX_ENTRIES_IN_USE)
 }
 
--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -298,7 +298,7 @@
             running: self.calls.len() as u32,
             queued: self.queue.queued(),
             limit: self.capacity.limit(),
-            outlook: self.capacity.outlook(),
+            projected_limit: self.capacity.projected_limit(),
             cold: self.capacity.is_cold(),
             draining: self.gate.is_draining(),
         }
--- a/crates/core/src/capacity/mod.rs
+++ b/crates/core/src/capacity/mod.rs
@@ -210,9 +210,9 @@
     /// Returns the number of calls that the upstream is expected to run at once shortly.
     ///
     /// It exceeds the limit of a warm upstream whose limit still doubles.
-    pub fn outlook(&self) -> u32 {
+    pub fn projected_limit(&self) -> u32 {
         match self.phase {
-            Phase::Warm => self.ramp.outlook().max(self.limit()),
+            Phase::Warm => self.ramp.projected_limit().max(self.limit()),
             Phase::Stopped { .. } | Phase::Cold { .. } => self.limit(),
         }
     }
--- a/crates/core/src/capacity/ramp.rs
+++ b/crates/core/src/capacity/ramp.rs
@@ -87,7 +87,7 @@
     }
 
     /// Returns the number of calls that are expected to run at once shortly, if there are that many.
-    pub(crate) fn outlook(&self) -> u32 {
+    pub(crate) fn projected_limit(&self) -> u32 {
         match self.doubling {
             true => self.limit.saturating_mul(OUTLOOK_FACTOR).min(self.ceiling),
             false => self.limit,
--- a/crates/core/src/routing/pool.rs
+++ b/crates/core/src/routing/pool.rs
@@ -23,7 +23,8 @@
     /// Calls that the upstream may run at once.
     pub limit: u32,
     /// Calls that the upstream is expected to run at once shortly.
-    pub outlook: u32,
+    #[serde(rename = "outlook")]
+    pub projected_limit: u32,
     /// Whether the upstream is in a cold start.
     pub cold: bool,
     /// Whether the agent refuses new work.
@@ -34,7 +35,7 @@
     /// Returns what is assumed of an upstream that has not reported: cold and idle.
     pub fn unknown(cold_limit: u32) -> Self {
         let limit = cold_limit.max(1);
-        Self { running: 0, queued: 0, limit, outlook: limit, cold: true, draining: false }
+        Self { running: 0, queued: 0, limit, projected_limit: limit, cold: true, draining: false }
     }
 }
 
@@ -46,9 +47,9 @@
     /// Calls that run or wait at them.
     pub outstanding: u32,
     /// Part of the outstanding calls that this entry sent.
-    pub own: u32,
+    pub own_outstanding: u32,
     /// Calls that they are expected to run at once shortly.
-    pub limit: u32,
+    pub projected_limit: u32,
 }
 
 /// How an attempt ended, as far as the health of the upstream is concerned.
@@ -276,8 +277,8 @@
             }
             pool.upstreams += 1;
             pool.outstanding += load.running + load.queued + upstream.sent_since_reply;
-            pool.own += upstream.in_flight;
-            pool.limit += load.outlook;
+            pool.own_outstanding += upstream.in_flight;
+            pool.projected_limit += load.projected_limit;
         }
         pool
     }
--- a/crates/core/src/routing/tests.rs
+++ b/crates/core/src/routing/tests.rs
@@ -4,7 +4,7 @@
 const NO_PROBE: RandomNumbers = RandomNumbers { first: 0, second: 0, probe: 1 };
 
 fn warm(running: u32) -> LoadReport {
-    LoadReport { running, queued: 0, limit: 8, outlook: 8, cold: false, draining: false }
+    LoadReport { running, queued: 0, limit: 8, projected_limit: 8, cold: false, draining: false }
 }
 
 /// Builds a pool of warm upstreams with the given numbers of running calls.
--- a/crates/core/tests/routing_fuzz.rs
+++ b/crates/core/tests/routing_fuzz.rs
@@ -36,7 +36,7 @@
             running,
             queued,
             limit: if cold { COLD_LIMIT } else { 8 },
-            outlook: if cold { COLD_LIMIT } else { 8 },
+            projected_limit: if cold { COLD_LIMIT } else { 8 },
             cold,
             draining,
         },
--- a/crates/fakes/src/model/agent.rs
+++ b/crates/fakes/src/model/agent.rs
@@ -88,12 +88,26 @@
         if self.mode == Mode::Baseline {
             let queued = self.fifo.len() as u32;
             let limit = self.concurrency;
-            return LoadReport { running, queued, limit, outlook: limit, cold: false, draining };
+            return LoadReport {
+                running,
+                queued,
+                limit,
+                projected_limit: limit,
+                cold: false,
+                draining,
+            };
         }
         let queued = self.queue.queued();
         let limit = self.capacity.limit();
-        let outlook = self.capacity.outlook();
-        LoadReport { running, queued, limit, outlook, cold: self.capacity.is_cold(), draining }
+        let projected_limit = self.capacity.projected_limit();
+        LoadReport {
+            running,
+            queued,
+            limit,
+            projected_limit,
+            cold: self.capacity.is_cold(),
+            draining,
+        }
     }
 
     /// Queues an attempt; returns the one that made room for it.
