--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -7,7 +7,7 @@
 
 use crate::{
     outcome::Reason,
-    routing::{Standing, UpstreamKey, pool::LoadReport},
+    routing::{HealthStatus, UpstreamKey, pool::LoadReport},
 };
 
 /// One in this many choices may go to a cold upstream while warm ones have room.
@@ -34,7 +34,7 @@
     /// Whether the upstream stands in the entry's own data centre.
     pub is_local: bool,
     /// Whether the upstream may receive work as far as its health tells.
-    pub standing: Standing,
+    pub health_status: HealthStatus,
     /// Whether the upstream is believed to have the prompt prefix in its cache.
     pub has_prefix: bool,
     /// Whether an earlier attempt of the same stage went to this upstream.
@@ -49,7 +49,7 @@
     }
 
     /// Tells whether one more attempt could start at once.
-    pub fn has_room(&self) -> bool {
+    pub fn has_capacity(&self) -> bool {
         self.outstanding() < self.load.limit
     }
 
@@ -60,7 +60,7 @@
     }
 
     fn is_eligible(&self) -> bool {
-        !self.tried && !self.load.draining && self.standing == Standing::InService
+        !self.tried && !self.load.draining && self.health_status == HealthStatus::InService
     }
 }
 
@@ -79,13 +79,13 @@
 
 /// What the choice depends on besides the candidates.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct RouteContext {
+pub struct ChoiceContext {
     /// How an upstream is picked.
     pub policy: Policy,
     /// Hash of the prompt prefix, if the stage has one worth keeping together.
     pub prefix: Option<u64>,
     /// Number of choices made before, for [`Policy::RoundRobin`].
-    pub turn: u64,
+    pub round_robin_index: u64,
     /// Whether the attempt is too precious to try out an ejected or cold upstream with.
     pub no_probe: bool,
 }
@@ -143,18 +143,18 @@
 /// Why no candidate was chosen.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 #[display(rename_all = "snake_case")]
-pub enum NoChoice {
+pub enum ChoiceError {
     /// No upstream is eligible.
     NoUpstream,
     /// Every eligible upstream is cold and has as many calls as it can bear.
     Cold,
 }
 
-impl From<NoChoice> for Reason {
-    fn from(no_choice: NoChoice) -> Self {
-        match no_choice {
-            NoChoice::NoUpstream => Self::NoUpstream,
-            NoChoice::Cold => Self::Cold,
+impl From<ChoiceError> for Reason {
+    fn from(error: ChoiceError) -> Self {
+        match error {
+            ChoiceError::NoUpstream => Self::NoUpstream,
+            ChoiceError::Cold => Self::Cold,
         }
     }
 }
@@ -163,12 +163,12 @@
 ///
 /// # Errors
 ///
-/// [`NoChoice`] when no candidate may receive the attempt now.
+/// [`ChoiceError`] when no candidate may receive the attempt now.
 pub fn choose(
     candidates: &[Candidate],
-    context: &RouteContext,
+    context: &ChoiceContext,
     random: RandomNumbers,
-) -> Result<Choice, NoChoice> {
+) -> Result<Choice, ChoiceError> {
     let eligible = indices(candidates, Candidate::is_eligible);
     let considered = eligible.len();
     let choice = |(index, reason): (usize, ChoiceReason)| Choice {
@@ -184,40 +184,42 @@
         return Ok(choice((index, ChoiceReason::ReturnProbe)));
     }
     if eligible.is_empty() {
-        return Err(NoChoice::NoUpstream);
+        return Err(ChoiceError::NoUpstream);
     }
 
     match context.policy {
         Policy::PowerOfTwo => by_load(candidates, &eligible, context, random).map(choice),
         Policy::Random => Ok(choice((pick(&eligible, random.first), ChoiceReason::Random))),
-        Policy::RoundRobin => Ok(choice((pick(&eligible, context.turn), ChoiceReason::InTurn))),
+        Policy::RoundRobin => {
+            Ok(choice((pick(&eligible, context.round_robin_index), ChoiceReason::InTurn)))
+        }
     }
 }
 
 fn by_load(
     candidates: &[Candidate],
     eligible: &[usize],
-    context: &RouteContext,
+    context: &ChoiceContext,
     random: RandomNumbers,
-) -> Result<(usize, ChoiceReason), NoChoice> {
+) -> Result<(usize, ChoiceReason), ChoiceError> {
     let warm = retain(eligible, |index| !candidates[index].load.cold);
     let cold = retain(eligible, |index| {
         let candidate = &candidates[index];
-        candidate.load.cold && candidate.has_room()
+        candidate.load.cold && candidate.has_capacity()
     });
 
     if warm.is_empty() {
         if cold.is_empty() {
-            return Err(NoChoice::Cold);
+            return Err(ChoiceError::Cold);
         }
         return Ok((less_loaded(candidates, &cold, random), ChoiceReason::OnlyCold));
     }
 
     // Cold upstreams warm up only if they get calls, so a small part of the calls goes there, and
     // any call does that would have to wait elsewhere.
-    let warm_has_room = warm.iter().any(|&index| candidates[index].has_room());
+    let warm_has_capacity = warm.iter().any(|&index| candidates[index].has_capacity());
     let probes = !context.no_probe && random.probe.is_multiple_of(COLD_PROBE_INTERVAL);
-    if !cold.is_empty() && (!warm_has_room || probes) {
+    if !cold.is_empty() && (!warm_has_capacity || probes) {
         return Ok((less_loaded(candidates, &cold, random), ChoiceReason::ColdProbe));
     }
 
@@ -227,7 +229,8 @@
         return Ok(choice);
     }
 
-    let local = retain(&warm, |index| candidates[index].is_local && candidates[index].has_room());
+    let local =
+        retain(&warm, |index| candidates[index].is_local && candidates[index].has_capacity());
     if !local.is_empty() {
         return Ok((less_loaded(candidates, &local, random), ChoiceReason::LocalLeastLoaded));
     }
@@ -236,9 +239,11 @@
 
 /// Returns an ejected upstream whose single attempt at its return is due.
 fn return_probe(candidates: &[Candidate]) -> Option<usize> {
-    let due = |it: &Candidate| it.standing == Standing::ProbeDue && !it.tried && !it.load.draining;
-    let has_cold_room = |it: &Candidate| !it.load.cold || it.has_room();
-    candidates.iter().position(|it| due(it) && has_cold_room(it))
+    let due = |it: &Candidate| {
+        it.health_status == HealthStatus::ProbeDue && !it.tried && !it.load.draining
+    };
+    let has_cold_capacity = |it: &Candidate| !it.load.cold || it.has_capacity();
+    candidates.iter().position(|it| due(it) && has_cold_capacity(it))
 }
 
 fn by_prefix(
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -23,7 +23,7 @@
 
 /// Whether an upstream may receive work as far as its health tells.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Standing {
+pub enum HealthStatus {
     /// It receives its part of the work.
     InService,
     /// It was ejected and may receive one attempt, on which its return depends.
@@ -61,16 +61,16 @@
         }
     }
 
-    /// Returns the standing at `now_ms`.
-    pub fn standing(&self, now_ms: u64) -> Standing {
+    /// Returns the health_status at `now_ms`.
+    pub fn status(&self, now_ms: u64) -> HealthStatus {
         match self.state {
-            State::InService => Standing::InService,
-            State::Ejected { until_ms } if now_ms >= until_ms => Standing::ProbeDue,
-            State::Ejected { .. } => Standing::Ejected,
+            State::InService => HealthStatus::InService,
+            State::Ejected { until_ms } if now_ms >= until_ms => HealthStatus::ProbeDue,
+            State::Ejected { .. } => HealthStatus::Ejected,
             State::Probing { since_ms } if now_ms >= since_ms + PROBE_TIMEOUT_MS => {
-                Standing::ProbeDue
+                HealthStatus::ProbeDue
             }
-            State::Probing { .. } => Standing::Ejected,
+            State::Probing { .. } => HealthStatus::Ejected,
         }
     }
 
@@ -81,7 +81,7 @@
 
     /// Notes that an attempt was sent.
     pub(crate) fn on_sent(&mut self, now_ms: u64) {
-        if self.standing(now_ms) == Standing::ProbeDue {
+        if self.status(now_ms) == HealthStatus::ProbeDue {
             self.state = State::Probing { since_ms: now_ms };
         }
     }
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -17,9 +17,9 @@
 pub use crate::routing::pool::Sabotage;
 pub use crate::routing::{
     choose::{
-        Candidate, Choice, ChoiceReason, NoChoice, Policy, RandomNumbers, RouteContext, choose,
+        Candidate, Choice, ChoiceContext, ChoiceError, ChoiceReason, Policy, RandomNumbers, choose,
     },
-    health::{Health, Standing},
+    health::{Health, HealthStatus},
     hints::{CacheEvent, PrefixHints},
     pool::{AttemptEnd, LoadReport, PoolLoad, PoolView},
 };
--- a/crates/core/src/routing/pool.rs
+++ b/crates/core/src/routing/pool.rs
@@ -6,7 +6,7 @@
 use crate::routing::{
     UpstreamKey,
     choose::Candidate,
-    health::{Health, Standing},
+    health::{Health, HealthStatus},
     hints::{CacheEvent, PrefixHints},
 };
 
@@ -226,9 +226,9 @@
         let ignores_ejection = self.ignores_ejection(now_ms);
         for (key, upstream) in &self.upstreams {
             let health = &self.health[key];
-            let standing = match ignores_ejection {
-                true => Standing::InService,
-                false => health.standing(now_ms),
+            let health_status = match ignores_ejection {
+                true => HealthStatus::InService,
+                false => health.status(now_ms),
             };
             let ratio = health.latency_ratio().unwrap_or(pool_ratio);
             candidates.push(Candidate {
@@ -239,7 +239,7 @@
                 in_flight: upstream.in_flight,
                 latency_factor: ratio / pool_ratio,
                 is_local: upstream.is_local,
-                standing,
+                health_status,
                 has_prefix: prefix.is_some_and(|it| self.hints.holds(key, it)),
                 tried: tried.contains(&key),
             });
@@ -271,7 +271,7 @@
         for (key, upstream) in &self.upstreams {
             let load = upstream.current_load(now_ms);
             let is_in_service =
-                ignores_ejection || self.health[key].standing(now_ms) == Standing::InService;
+                ignores_ejection || self.health[key].status(now_ms) == HealthStatus::InService;
             if load.draining || !is_in_service {
                 continue;
             }
@@ -290,7 +290,7 @@
     fn ignores_ejection(&self, now_ms: u64) -> bool {
         for (key, upstream) in &self.upstreams {
             let is_open = !upstream.current_load(now_ms).draining;
-            if is_open && self.health[key].standing(now_ms) == Standing::InService {
+            if is_open && self.health[key].status(now_ms) == HealthStatus::InService {
                 return false;
             }
         }
@@ -315,7 +315,8 @@
         if self.sabotage == Sabotage::EjectAll {
             return true;
         }
-        let in_service = |it: UpstreamKey| self.health[it].standing(now_ms) == Standing::InService;
+        let in_service =
+            |it: UpstreamKey| self.health[it].status(now_ms) == HealthStatus::InService;
         let ejected = self.upstreams.keys().filter(|&it| it != key && !in_service(it)).count();
         (ejected + 1) * 2 <= self.upstreams.len()
     }
--- a/crates/core/src/routing/tests.rs
+++ b/crates/core/src/routing/tests.rs
@@ -21,9 +21,9 @@
 
 fn route(
     pool: &PoolView,
-    context: RouteContext,
+    context: ChoiceContext,
     random: RandomNumbers,
-) -> Result<Choice, NoChoice> {
+) -> Result<Choice, ChoiceError> {
     choose(&pool.candidates(0, context.prefix, &[]), &context, random)
 }
 
@@ -32,7 +32,7 @@
     let (pool, keys) = pool(&[4, 1]);
     for first in 0..2 {
         let random = RandomNumbers { first, ..NO_PROBE };
-        let choice = route(&pool, RouteContext::default(), random).unwrap();
+        let choice = route(&pool, ChoiceContext::default(), random).unwrap();
         assert_eq!(choice.key, keys[1]);
         assert_eq!(choice.reason, ChoiceReason::LeastLoaded);
         assert_eq!(choice.considered, 2);
@@ -45,7 +45,7 @@
     for _ in 0..3 {
         pool.on_sent(0, keys[0]);
     }
-    assert_eq!(route(&pool, RouteContext::default(), NO_PROBE).unwrap().key, keys[1]);
+    assert_eq!(route(&pool, ChoiceContext::default(), NO_PROBE).unwrap().key, keys[1]);
 }
 
 #[test]
@@ -53,15 +53,15 @@
     let (mut pool, _) = pool(&[0, 0]);
     let local = pool.add(0, 9, true, COLD_LIMIT);
     pool.on_reply(0, local, warm(7));
-    assert_eq!(route(&pool, RouteContext::default(), NO_PROBE).unwrap().key, local);
+    assert_eq!(route(&pool, ChoiceContext::default(), NO_PROBE).unwrap().key, local);
     pool.on_reply(0, local, warm(8));
-    assert_ne!(route(&pool, RouteContext::default(), NO_PROBE).unwrap().key, local);
+    assert_ne!(route(&pool, ChoiceContext::default(), NO_PROBE).unwrap().key, local);
 }
 
 #[test]
 fn prefix_stays_with_its_upstream_until_that_is_overloaded() {
     let (mut pool, _) = pool(&[1, 1, 1, 1]);
-    let context = RouteContext { prefix: Some(42), ..RouteContext::default() };
+    let context = ChoiceContext { prefix: Some(42), ..ChoiceContext::default() };
     let assigned = route(&pool, context, NO_PROBE).unwrap();
     assert_eq!(assigned.reason, ChoiceReason::PrefixAffinity);
     assert_eq!(
@@ -76,7 +76,7 @@
 #[test]
 fn cached_prefix_goes_first_and_a_gap_voids_it() {
     let (mut pool, keys) = pool(&[1, 1, 1, 1]);
-    let context = RouteContext { prefix: Some(42), ..RouteContext::default() };
+    let context = ChoiceContext { prefix: Some(42), ..ChoiceContext::default() };
     let assigned = route(&pool, context, NO_PROBE).unwrap().key;
     let other = *keys.iter().find(|it| **it != assigned).unwrap();
 
@@ -90,23 +90,23 @@
 fn cold_upstream_gets_probes_only_and_never_more_than_its_limit() {
     let (mut pool, _) = pool(&[0, 0]);
     let cold = pool.add(0, 9, true, COLD_LIMIT);
-    assert_ne!(route(&pool, RouteContext::default(), NO_PROBE).unwrap().key, cold);
+    assert_ne!(route(&pool, ChoiceContext::default(), NO_PROBE).unwrap().key, cold);
 
     let probe = RandomNumbers { probe: 16, ..NO_PROBE };
-    let choice = route(&pool, RouteContext::default(), probe).unwrap();
+    let choice = route(&pool, ChoiceContext::default(), probe).unwrap();
     assert_eq!((choice.key, choice.reason), (cold, ChoiceReason::ColdProbe));
     pool.on_sent(0, cold);
-    assert_ne!(route(&pool, RouteContext::default(), probe).unwrap().key, cold);
+    assert_ne!(route(&pool, ChoiceContext::default(), probe).unwrap().key, cold);
 }
 
 #[test]
 fn pool_that_is_wholly_cold_refuses_beyond_its_limits() {
     let mut pool = PoolView::new();
     let cold = pool.add(0, 1, true, COLD_LIMIT);
-    let choice = route(&pool, RouteContext::default(), NO_PROBE).unwrap();
+    let choice = route(&pool, ChoiceContext::default(), NO_PROBE).unwrap();
     assert_eq!(choice.reason, ChoiceReason::OnlyCold);
     pool.on_sent(0, cold);
-    assert_eq!(route(&pool, RouteContext::default(), NO_PROBE), Err(NoChoice::Cold));
+    assert_eq!(route(&pool, ChoiceContext::default(), NO_PROBE), Err(ChoiceError::Cold));
 }
 
 #[test]
@@ -114,8 +114,8 @@
     let (mut pool, keys) = pool(&[0, 0]);
     pool.on_reply(0, keys[0], LoadReport { draining: true, ..warm(0) });
     let candidates = pool.candidates(0, None, &[keys[1]]);
-    let choice = choose(&candidates, &RouteContext::default(), NO_PROBE);
-    assert_eq!(choice, Err(NoChoice::NoUpstream));
+    let choice = choose(&candidates, &ChoiceContext::default(), NO_PROBE);
+    assert_eq!(choice, Err(ChoiceError::NoUpstream));
 }
 
 #[test]
@@ -123,7 +123,7 @@
     let (mut pool, keys) = pool(&[0, 3]);
     pool.set_withdrawn(keys[0], true);
     pool.on_reply(0, keys[0], warm(0));
-    assert_eq!(route(&pool, RouteContext::default(), NO_PROBE).unwrap().key, keys[1]);
+    assert_eq!(route(&pool, ChoiceContext::default(), NO_PROBE).unwrap().key, keys[1]);
     assert_eq!(pool.load(0).upstreams, 1);
     pool.set_withdrawn(keys[0], false);
     assert_eq!(pool.load(0).upstreams, 2);
@@ -135,16 +135,17 @@
     for _ in 0..3 {
         pool.on_end(0, keys[0], AttemptEnd::Failed);
     }
-    let standing = |pool: &PoolView, now_ms| pool.candidates(now_ms, None, &[])[0].standing;
-    assert_eq!(standing(&pool, 999), Standing::Ejected);
-    assert_eq!(standing(&pool, 1_000), Standing::ProbeDue);
+    let health_status =
+        |pool: &PoolView, now_ms| pool.candidates(now_ms, None, &[])[0].health_status;
+    assert_eq!(health_status(&pool, 999), HealthStatus::Ejected);
+    assert_eq!(health_status(&pool, 1_000), HealthStatus::ProbeDue);
 
-    let choice = choose(&pool.candidates(1_000, None, &[]), &RouteContext::default(), NO_PROBE);
+    let choice = choose(&pool.candidates(1_000, None, &[]), &ChoiceContext::default(), NO_PROBE);
     assert_eq!(choice.unwrap().reason, ChoiceReason::ReturnProbe);
     pool.on_sent(1_000, keys[0]);
-    assert_eq!(standing(&pool, 1_001), Standing::Ejected);
+    assert_eq!(health_status(&pool, 1_001), HealthStatus::Ejected);
     pool.on_end(1_100, keys[0], AttemptEnd::Completed { ratio: 1.0 });
-    assert_eq!(standing(&pool, 1_101), Standing::InService);
+    assert_eq!(health_status(&pool, 1_101), HealthStatus::InService);
 }
 
 #[test]
@@ -156,7 +157,7 @@
         }
     }
     let candidates = pool.candidates(0, None, &[]);
-    let ejected = candidates.iter().filter(|it| it.standing == Standing::Ejected).count();
+    let ejected = candidates.iter().filter(|it| it.health_status == HealthStatus::Ejected).count();
     assert_eq!(ejected, 2);
 }
 
@@ -166,10 +167,10 @@
     for _ in 0..3 {
         pool.on_end(0, keys[0], AttemptEnd::Failed);
     }
-    assert_eq!(route(&pool, RouteContext::default(), NO_PROBE).unwrap().key, keys[1]);
+    assert_eq!(route(&pool, ChoiceContext::default(), NO_PROBE).unwrap().key, keys[1]);
     pool.set_withdrawn(keys[1], true);
     assert_eq!(pool.load(0).upstreams, 1);
-    assert_eq!(route(&pool, RouteContext::default(), NO_PROBE).unwrap().key, keys[0]);
+    assert_eq!(route(&pool, ChoiceContext::default(), NO_PROBE).unwrap().key, keys[0]);
 }
 
 #[test]
@@ -180,8 +181,8 @@
         pool.on_end(0, keys[1], AttemptEnd::Completed { ratio: 1.0 });
         pool.on_end(0, keys[2], AttemptEnd::Completed { ratio: 1.0 });
     }
-    assert_eq!(pool.candidates(0, None, &[])[0].standing, Standing::Ejected);
-    assert_eq!(pool.candidates(0, None, &[])[1].standing, Standing::InService);
+    assert_eq!(pool.candidates(0, None, &[])[0].health_status, HealthStatus::Ejected);
+    assert_eq!(pool.candidates(0, None, &[])[1].health_status, HealthStatus::InService);
 }
 
 #[test]
@@ -191,7 +192,7 @@
         pool.on_sent(0, keys[0]);
         pool.on_end(0, keys[0], AttemptEnd::Completed { ratio: 10.0 });
     }
-    assert_eq!(pool.candidates(0, None, &[])[0].standing, Standing::InService);
+    assert_eq!(pool.candidates(0, None, &[])[0].health_status, HealthStatus::InService);
 }
 
 #[test]
@@ -202,8 +203,8 @@
         pool.on_end(0, keys[1], AttemptEnd::Completed { ratio: 1.0 });
         pool.on_end(0, keys[2], AttemptEnd::Abandoned { ratio: 0.5 });
     }
-    assert_eq!(pool.candidates(0, None, &[])[0].standing, Standing::Ejected);
-    assert_eq!(pool.candidates(0, None, &[])[2].standing, Standing::InService);
+    assert_eq!(pool.candidates(0, None, &[])[0].health_status, HealthStatus::Ejected);
+    assert_eq!(pool.candidates(0, None, &[])[2].health_status, HealthStatus::InService);
 }
 
 #[test]
@@ -214,23 +215,27 @@
     }
     pool.on_sent(1_000, keys[0]);
     pool.on_end(2_000, keys[0], AttemptEnd::Completed { ratio: 10.0 });
-    assert_eq!(pool.candidates(3_000, None, &[])[0].standing, Standing::Ejected);
-    assert_eq!(pool.candidates(4_000, None, &[])[0].standing, Standing::ProbeDue);
+    assert_eq!(pool.candidates(3_000, None, &[])[0].health_status, HealthStatus::Ejected);
+    assert_eq!(pool.candidates(4_000, None, &[])[0].health_status, HealthStatus::ProbeDue);
 }
 
 #[test]
 fn old_load_reports_fade() {
     let (pool, _) = pool(&[8]);
-    assert!(!pool.candidates(0, None, &[])[0].has_room());
-    assert!(pool.candidates(2_000, None, &[])[0].has_room());
+    assert!(!pool.candidates(0, None, &[])[0].has_capacity());
+    assert!(pool.candidates(2_000, None, &[])[0].has_capacity());
 }
 
 #[test]
 fn baselines_pick_at_random_and_in_turn() {
     let (pool, keys) = pool(&[9, 9, 0]);
-    let random = RouteContext { policy: Policy::Random, ..RouteContext::default() };
+    let random = ChoiceContext { policy: Policy::Random, ..ChoiceContext::default() };
     let choice = route(&pool, random, RandomNumbers { first: 1, ..NO_PROBE }).unwrap();
     assert_eq!((choice.key, choice.reason), (keys[1], ChoiceReason::Random));
-    let in_turn = RouteContext { policy: Policy::RoundRobin, turn: 5, ..RouteContext::default() };
+    let in_turn = ChoiceContext {
+        policy: Policy::RoundRobin,
+        round_robin_index: 5,
+        ..ChoiceContext::default()
+    };
     assert_eq!(route(&pool, in_turn, NO_PROBE).unwrap().key, keys[2]);
 }
--- a/crates/core/tests/routing_fuzz.rs
+++ b/crates/core/tests/routing_fuzz.rs
@@ -8,8 +8,8 @@
 };
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 use yuccatrail_core::routing::{
-    AttemptEnd, ChoiceReason, LoadReport, NoChoice, PoolView, RandomNumbers, RouteContext,
-    Standing, UpstreamKey, choose,
+    AttemptEnd, ChoiceContext, ChoiceError, ChoiceReason, HealthStatus, LoadReport, PoolView,
+    RandomNumbers, UpstreamKey, choose,
 };
 
 const SEED: u64 = 7_003;
@@ -129,16 +129,16 @@
         let now_ms = self.now_ms;
         let tried_keys: Vec<_> = tried.iter().map(|it| self.keys[*it]).collect();
         let candidates = self.pool.candidates(now_ms, prefix, &tried_keys);
-        let context = RouteContext { prefix, ..RouteContext::default() };
+        let context = ChoiceContext { prefix, ..ChoiceContext::default() };
         let random = RandomNumbers { first: numbers.0, second: numbers.1, probe: numbers.2 };
         let choice = match choose(&candidates, &context, random) {
             Ok(choice) => choice,
-            Err(NoChoice::Cold) => return,
-            Err(NoChoice::NoUpstream) => {
+            Err(ChoiceError::Cold) => return,
+            Err(ChoiceError::NoUpstream) => {
                 let usable = |it: &usize| {
                     let drains = self.known[*it].reported.is_some_and(|(_, load)| load.draining);
-                    let standing = candidates[*it].standing;
-                    !tried.contains(it) && !drains && standing == Standing::InService
+                    let health_status = candidates[*it].health_status;
+                    !tried.contains(it) && !drains && health_status == HealthStatus::InService
                 };
                 assert!(!(0..UPSTREAMS).any(|it| usable(&it)), "refused beside a usable upstream");
                 return;
@@ -179,7 +179,8 @@
 
     fn check_ejected(&self) {
         let candidates = self.pool.candidates(self.now_ms, None, &[]);
-        let out = candidates.iter().filter(|it| it.standing != Standing::InService).count();
+        let out =
+            candidates.iter().filter(|it| it.health_status != HealthStatus::InService).count();
         assert!(out * 2 <= UPSTREAMS, "more than half of the pool is ejected");
     }
 }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -19,8 +19,8 @@
     outcome::Reason,
     quarantine::alone_upstream,
     routing::{
-        self, AttemptEnd, Candidate, Choice, ChoiceReason, PoolLoad, PoolView, RandomNumbers,
-        RouteContext,
+        self, AttemptEnd, Candidate, Choice, ChoiceContext, ChoiceReason, PoolLoad, PoolView,
+        RandomNumbers,
     },
 };
 use yuccatrail_rpc::messages::Feedback;
@@ -160,12 +160,12 @@
         &self,
         pool: &str,
         tried: &[UpstreamKey],
-        context: RouteContext,
+        context: ChoiceContext,
         random: RandomNumbers,
     ) -> Result<Chosen, Reason> {
         let now_ms = self.clock.now_ms();
         let mut state = self.lock();
-        let context = RouteContext { turn: state.turn, ..context };
+        let context = ChoiceContext { round_robin_index: state.turn, ..context };
         state.turn += 1;
         let candidates = state.candidates(pool, tried, context.prefix, now_ms)?;
         let choice = routing::choose(&candidates, &context, random).map_err(Reason::from)?;
--- a/crates/entry/src/run/stage.rs
+++ b/crates/entry/src/run/stage.rs
@@ -10,7 +10,7 @@
     ids::{AttemptId, StageIndex},
     membership::UpstreamKey,
     outcome::{Execution, Reason, Refusal},
-    routing::{RandomNumbers, RouteContext},
+    routing::{ChoiceContext, RandomNumbers},
 };
 use yuccatrail_rpc::messages::UpstreamCall;
 
@@ -165,10 +165,10 @@
         let chosen = match alone {
             true => self.entry.fleet.choose_alone(pool, self.request.fingerprint),
             false => {
-                let context = RouteContext {
+                let context = ChoiceContext {
                     prefix: self.work.prefix,
                     no_probe: self.no_probe,
-                    ..RouteContext::default()
+                    ..ChoiceContext::default()
                 };
                 let [first, second, probe] = rand::random();
                 let random = RandomNumbers { first, second, probe };
--- a/crates/fakes/src/capacity/decisions.rs
+++ b/crates/fakes/src/capacity/decisions.rs
@@ -8,7 +8,7 @@
     drain::{FreshnessSettings, GateSettings},
     ids::{AttemptId, Digest, Incarnation, RequestId, StageIndex},
     membership::{SubsetSizes, subset},
-    routing::{LoadReport, PoolView, RandomNumbers, RouteContext, choose},
+    routing::{ChoiceContext, LoadReport, PoolView, RandomNumbers, choose},
 };
 
 use super::{changes::document_of, slope::Slope};
@@ -48,7 +48,7 @@
         for number in 0..DECISIONS {
             let random = random_numbers(number);
             let found = view.candidates(1_000, None, &[]);
-            black_box(choose(&found, &RouteContext::default(), random)).ok();
+            black_box(choose(&found, &ChoiceContext::default(), random)).ok();
         }
         pairs.push((candidates as f64, each_us(start, DECISIONS)));
     }
--- a/crates/fakes/src/model/entry.rs
+++ b/crates/fakes/src/model/entry.rs
@@ -8,7 +8,7 @@
     hedge::{HedgeDecision, HedgeQuery, RecentLatency, decide},
     outcome::{Refusal, Usage},
     routing::{
-        AttemptEnd, LoadReport, NoChoice, PoolView, RandomNumbers, RouteContext, UpstreamKey,
+        AttemptEnd, ChoiceContext, ChoiceError, LoadReport, PoolView, RandomNumbers, UpstreamKey,
         choose,
     },
 };
@@ -124,16 +124,16 @@
         stage: StageSpec,
         tried: &[usize],
         rng: &mut StdRng,
-    ) -> Result<usize, NoChoice> {
+    ) -> Result<usize, ChoiceError> {
         let pool = &self.pools[stage.pool];
         let is_tried = |it: &&(UpstreamKey, usize)| tried.contains(&it.1);
         let tried: Vec<_> = pool.upstreams.iter().filter(is_tried).map(|it| it.0).collect();
         let candidates = pool.view.candidates(now_ms, None, &tried);
-        let context = RouteContext {
+        let context = ChoiceContext {
             policy: self.mode.routing(),
-            turn: self.turn,
+            round_robin_index: self.turn,
             no_probe: !stage.idempotent,
-            ..RouteContext::default()
+            ..ChoiceContext::default()
         };
         self.turn += 1;
         let random =
@@ -168,7 +168,7 @@
         for candidate in &candidates {
             let upstream = pool.upstreams.iter().find(|it| it.0 == candidate.key);
             let is_other = upstream.is_some_and(|it| !tried.contains(&it.1));
-            other_has_room |= is_other && candidate.has_room() && !candidate.load.cold;
+            other_has_room |= is_other && candidate.has_capacity() && !candidate.load.cold;
         }
         let query = HedgeQuery { other_has_room, ..query };
         decide(now_ms, &query, &pool.latency, &mut pool.budget)
