--- a/crates/core/src/batching/fill.rs
+++ b/crates/core/src/batching/fill.rs
@@ -41,7 +41,7 @@
 impl Batcher {
     /// Returns the room that is planned with, in bytes.
     fn room_bytes(&self) -> u64 {
-        (self.service.room_bytes as f64 * ROOM_PART) as u64
+        (self.service.result_capacity_bytes as f64 * ROOM_PART) as u64
     }
 
     /// Returns where each upstream stands and which data centres have one that is free soon.
--- a/crates/core/src/batching/tests.rs
+++ b/crates/core/src/batching/tests.rs
@@ -16,7 +16,7 @@
     batch: 10,
     call_ms: 200.0,
     piece_ms: 17.0,
-    room_bytes: 22_000_000,
+    result_capacity_bytes: 22_000_000,
     result_ttl_ms: 4_000,
 };
 
@@ -77,7 +77,7 @@
 #[test]
 fn a_call_holds_no_more_results_than_the_upstream_has_room_for() {
     let engines = engines(1);
-    let mut batcher = Batcher::new(StageService { room_bytes: 5_000_000, ..SERVICE });
+    let mut batcher = Batcher::new(StageService { result_capacity_bytes: 5_000_000, ..SERVICE });
     batcher.submit(work(5, 5_000, 9_000));
     let order = batcher.next_call(&engines, 0).unwrap();
     assert_eq!(order.pieces.len(), 3);
@@ -92,7 +92,8 @@
 #[test]
 fn work_begins_only_where_all_its_results_fit() {
     let engines = engines(2);
-    let mut batcher = Batcher::new(StageService { room_bytes: 6_000_000, batch: 3, ..SERVICE });
+    let mut batcher =
+        Batcher::new(StageService { result_capacity_bytes: 6_000_000, batch: 3, ..SERVICE });
     // Each upstream has room for four results; two stages of five would leave both unfinished.
     let first = batcher.submit(work(5, 1_000, 9_000));
     let second = batcher.submit(work(5, 2_000, 9_000));
--- a/crates/core/src/route_table/configuration.rs
+++ b/crates/core/src/route_table/configuration.rs
@@ -44,7 +44,8 @@
     /// Longest time that a caller is kept waiting, in milliseconds.
     pub timeout_ms: u64,
     /// Time within which an answer is on time, in milliseconds.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub target_latency_ms: u64,
     /// Rank among the routes; 0 is the most urgent.
     pub priority: u8,
     /// Services that share the route's requests; never empty.
@@ -54,11 +55,13 @@
     /// Stages that run before the request itself.
     pub stages: Vec<StageSpec>,
     /// Whether requests without a key are served.
-    pub is_anonymous: bool,
+    #[serde(rename = "is_anonymous")]
+    pub allows_anonymous: bool,
     /// Whether a broken stream may go on at another upstream after the last event.
     pub is_resumable: bool,
     /// Longest pause between two events of a stream that is on time, in milliseconds.
-    pub gap_aim_ms: Option<u64>,
+    #[serde(rename = "gap_aim_ms")]
+    pub target_gap_ms: Option<u64>,
 }
 
 impl Route {
@@ -107,7 +110,8 @@
     /// Time for which an upstream is cold after its start, in milliseconds.
     pub cold_start_ms: u64,
     /// Requests a second that a cold upstream bears; 0 when it needs no care.
-    pub cold_per_s: f64,
+    #[serde(rename = "cold_per_s")]
+    pub cold_requests_per_s: f64,
     /// Requests that one model upstream runs at the same time; none for other services.
     pub model_slots: Option<u32>,
     /// How stage calls are made; none for services that no stage uses.
@@ -128,7 +132,8 @@
     /// Approximate time of each piece, in milliseconds.
     pub piece_ms: f64,
     /// Room for results, in bytes.
-    pub room_bytes: u64,
+    #[serde(rename = "room_bytes")]
+    pub result_capacity_bytes: u64,
     /// Time for which a result is kept after its call, in milliseconds.
     pub result_ttl_ms: u64,
 }
--- a/crates/core/src/route_table/mod.rs
+++ b/crates/core/src/route_table/mod.rs
@@ -7,7 +7,7 @@
     CallerLimits, Configuration, CustomerKeys, Route, RouteKind, Service, StageService, StageSpec,
     Target,
 };
-pub use table::{Admission, Denial, RouteTable};
+pub use table::{AuthorizedRequest, Denial, RouteTable};
 
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/route_table/table.rs
+++ b/crates/core/src/route_table/table.rs
@@ -21,7 +21,7 @@
 
 /// Route and customer of an allowed request.
 #[derive(Clone, Debug)]
-pub struct Admission {
+pub struct AuthorizedRequest {
     /// Route that covers the request.
     pub route: Arc<Route>,
     /// Customer that holds the request's key; none on an anonymous route without a key.
@@ -31,7 +31,7 @@
 }
 
 #[derive(Clone, Debug)]
-struct KeyHolder {
+struct KeyOwner {
     customer: Arc<str>,
     priority: Option<u8>,
 }
@@ -42,7 +42,7 @@
     configuration: Arc<Configuration>,
     /// Routes of each host, longest prefix first.
     hosts: FastMap<String, Vec<Arc<Route>>>,
-    holders: FastMap<String, KeyHolder>,
+    key_owners: FastMap<String, KeyOwner>,
     services: FastMap<Arc<str>, Arc<Service>>,
 }
 
@@ -55,9 +55,9 @@
         }
         for customer in &configuration.customers {
             for key in &customer.keys {
-                let holder =
-                    KeyHolder { customer: customer.name.clone(), priority: customer.priority };
-                table.holders.insert(key.clone(), holder);
+                let owner =
+                    KeyOwner { customer: customer.name.clone(), priority: customer.priority };
+                table.key_owners.insert(key.clone(), owner);
             }
         }
         for route in &configuration.routes {
@@ -101,16 +101,21 @@
     /// # Errors
     ///
     /// Returns why the request is not allowed.
-    pub fn admit(&self, host: &str, path: &str, key: Option<&str>) -> Result<Admission, Denial> {
+    pub fn authorize(
+        &self,
+        host: &str,
+        path: &str,
+        key: Option<&str>,
+    ) -> Result<AuthorizedRequest, Denial> {
         let route = self.find(host, path).ok_or(Denial::NoRoute)?;
-        let holder = key.and_then(|it| self.holders.get(it));
-        let needs_key = !self.configuration.customers.is_empty() && !route.is_anonymous;
-        if holder.is_none() && needs_key {
+        let owner = key.and_then(|it| self.key_owners.get(it));
+        let needs_key = !self.configuration.customers.is_empty() && !route.allows_anonymous;
+        if owner.is_none() && needs_key {
             return Err(Denial::UnknownKey);
         }
-        let priority = holder.and_then(|it| it.priority).unwrap_or(route.priority);
-        let customer = holder.map(|it| it.customer.clone());
-        Ok(Admission { route: route.clone(), customer, priority })
+        let priority = owner.and_then(|it| it.priority).unwrap_or(route.priority);
+        let customer = owner.map(|it| it.customer.clone());
+        Ok(AuthorizedRequest { route: route.clone(), customer, priority })
     }
 
     fn find(&self, host: &str, path: &str) -> Option<&Arc<Route>> {
@@ -121,7 +126,7 @@
 
 impl Route {
     /// Chooses the service for one request by `draw`, a random number from 0 up to 1.
-    pub fn target(&self, draw: f64) -> Option<&Arc<str>> {
+    pub fn select_service(&self, draw: f64) -> Option<&Arc<str>> {
         let total: f64 = self.targets.iter().map(|it| it.weight).sum();
         let mut rest = draw * total;
         for Target { service, weight } in &self.targets {
--- a/crates/core/src/route_table/tests.rs
+++ b/crates/core/src/route_table/tests.rs
@@ -9,20 +9,20 @@
         path_prefix: prefix.to_owned(),
         kind: RouteKind::Idempotent,
         timeout_ms: 1_000,
-        aim_ms: 100,
+        target_latency_ms: 100,
         priority: 3,
         targets: vec![Target { service: service.into(), weight: 1.0 }],
         max_attempts: 2,
         stages: Vec::new(),
-        is_anonymous: false,
+        allows_anonymous: false,
         is_resumable: false,
-        gap_aim_ms: None,
+        target_gap_ms: None,
     }
 }
 
 fn table() -> RouteTable {
     let mut open = route("b.example", "/open/", "other");
-    open.is_anonymous = true;
+    open.allows_anonymous = true;
     RouteTable::new(Configuration {
         version: 7,
         routes: vec![
@@ -42,30 +42,30 @@
 #[test]
 fn the_longest_prefix_of_the_host_wins() {
     let table = table();
-    let admitted = table.admit("a.example", "/x/deep/1", Some("k1")).unwrap();
-    assert_eq!(admitted.route.target(0.5).unwrap().as_ref(), "long");
-    let admitted = table.admit("A.example:80", "/x/deeper", Some("k1")).unwrap();
-    assert_eq!(admitted.route.target(0.5).unwrap().as_ref(), "short");
-    assert_eq!(table.admit("b.example", "/x/1", Some("k1")).unwrap_err(), Denial::NoRoute);
-    assert_eq!(table.admit("a.example", "/x", Some("k1")).unwrap_err(), Denial::NoRoute);
+    let authorized = table.authorize("a.example", "/x/deep/1", Some("k1")).unwrap();
+    assert_eq!(authorized.route.select_service(0.5).unwrap().as_ref(), "long");
+    let authorized = table.authorize("A.example:80", "/x/deeper", Some("k1")).unwrap();
+    assert_eq!(authorized.route.select_service(0.5).unwrap().as_ref(), "short");
+    assert_eq!(table.authorize("b.example", "/x/1", Some("k1")).unwrap_err(), Denial::NoRoute);
+    assert_eq!(table.authorize("a.example", "/x", Some("k1")).unwrap_err(), Denial::NoRoute);
 }
 
 #[test]
 fn a_key_names_the_customer_and_its_priority() {
     let table = table();
-    let admitted = table.admit("a.example", "/x/1", Some("k2")).unwrap();
-    assert_eq!(admitted.customer.as_deref(), Some("north"));
-    assert_eq!(admitted.priority, 1);
-    assert_eq!(table.admit("a.example", "/x/1", Some("k3")).unwrap_err(), Denial::UnknownKey);
-    assert_eq!(table.admit("a.example", "/x/1", None).unwrap_err(), Denial::UnknownKey);
+    let authorized = table.authorize("a.example", "/x/1", Some("k2")).unwrap();
+    assert_eq!(authorized.customer.as_deref(), Some("north"));
+    assert_eq!(authorized.priority, 1);
+    assert_eq!(table.authorize("a.example", "/x/1", Some("k3")).unwrap_err(), Denial::UnknownKey);
+    assert_eq!(table.authorize("a.example", "/x/1", None).unwrap_err(), Denial::UnknownKey);
 }
 
 #[test]
 fn an_anonymous_route_needs_no_key_and_takes_no_unknown_customer() {
     let table = table();
-    let admitted = table.admit("b.example", "/open/1", Some("unknown")).unwrap();
-    assert_eq!(admitted.customer, None);
-    assert_eq!(admitted.priority, 3);
+    let authorized = table.authorize("b.example", "/open/1", Some("unknown")).unwrap();
+    assert_eq!(authorized.customer, None);
+    assert_eq!(authorized.priority, 3);
 }
 
 #[test]
@@ -75,8 +75,8 @@
         Target { service: "left".into(), weight: 90.0 },
         Target { service: "right".into(), weight: 10.0 },
     ];
-    assert_eq!(split.target(0.0).unwrap().as_ref(), "left");
-    assert_eq!(split.target(0.899).unwrap().as_ref(), "left");
-    assert_eq!(split.target(0.901).unwrap().as_ref(), "right");
-    assert_eq!(split.target(0.999_999).unwrap().as_ref(), "right");
+    assert_eq!(split.select_service(0.0).unwrap().as_ref(), "left");
+    assert_eq!(split.select_service(0.899).unwrap().as_ref(), "left");
+    assert_eq!(split.select_service(0.901).unwrap().as_ref(), "right");
+    assert_eq!(split.select_service(0.999_999).unwrap().as_ref(), "right");
 }
--- a/crates/core/tests/stage_load.rs
+++ b/crates/core/tests/stage_load.rs
@@ -32,7 +32,7 @@
         batch: 32,
         call_ms: 200.0,
         piece_ms: 5.4,
-        room_bytes: 4_100_000,
+        result_capacity_bytes: 4_100_000,
         result_ttl_ms: 4_000,
     },
     StageService {
@@ -41,7 +41,7 @@
         batch: 52,
         call_ms: 200.0,
         piece_ms: 3.3,
-        room_bytes: 690_000,
+        result_capacity_bytes: 690_000,
         result_ttl_ms: 4_000,
     },
 ];
--- a/crates/entry/src/relay/plain.rs
+++ b/crates/entry/src/relay/plain.rs
@@ -151,7 +151,7 @@
     if !may_repeat {
         return remaining_ms;
     }
-    let part_ms = request.admission.route.aim_ms as f64 * TRY_PART_OF_AIM;
+    let part_ms = request.admission.route.target_latency_ms as f64 * TRY_PART_OF_AIM;
     (part_ms as u64).max(MIN_TRY_MS).min(remaining_ms)
 }
 
--- a/crates/entry/src/relay/request.rs
+++ b/crates/entry/src/relay/request.rs
@@ -17,7 +17,7 @@
 };
 use yuccatrail_core::{
     outcome::Execution,
-    route_table::{Admission, Denial, RouteKind, RouteTable},
+    route_table::{AuthorizedRequest, Denial, RouteKind, RouteTable},
     upstreams::UpstreamRecord,
 };
 
@@ -56,7 +56,7 @@
     /// What its head says.
     pub(crate) head: CallerHead,
     /// Route and customer.
-    pub(crate) admission: Admission,
+    pub(crate) admission: AuthorizedRequest,
     /// Service that was chosen for it.
     pub(crate) service: Arc<str>,
     /// Time of its arrival, in milliseconds.
@@ -103,7 +103,7 @@
 
     /// Returns the time by which an answer is on time, in milliseconds.
     pub(crate) fn aim_ms(&self) -> u64 {
-        self.arrived_ms + self.admission.route.aim_ms
+        self.arrived_ms + self.admission.route.target_latency_ms
     }
 
     /// Returns the method.
@@ -231,7 +231,7 @@
         Ok(body) => body,
         Err(problem) => return reject(&relay, &id, &problem),
     };
-    let Some(service) = admission.route.target(rand::random()).cloned() else {
+    let Some(service) = admission.route.select_service(rand::random()).cloned() else {
         let problem = bad_request("no_service", "The route names no service.");
         return reject(&relay, &id, &problem);
     };
@@ -288,12 +288,12 @@
     headers: &HeaderMap,
     uri: &Uri,
     head: &CallerHead,
-) -> Result<Admission, Problem> {
+) -> Result<AuthorizedRequest, Problem> {
     let stated = headers.get(header::HOST).and_then(|it| it.to_str().ok());
     let Some(host) = stated.or_else(|| uri.host()) else {
         return Err(bad_request("no_host", "The request names no host."));
     };
-    table.admit(host, uri.path(), head.key.as_deref()).map_err(|denial| {
+    table.authorize(host, uri.path(), head.key.as_deref()).map_err(|denial| {
         let (status, detail) = match denial {
             Denial::NoRoute => (StatusCode::NOT_FOUND, "No route covers the host and the path."),
             Denial::UnknownKey => (StatusCode::UNAUTHORIZED, "No customer holds the key."),
--- a/crates/entry/src/relay/state.rs
+++ b/crates/entry/src/relay/state.rs
@@ -126,7 +126,7 @@
         info!(version = table.version(), source = source; "configuration in force");
         let mut cold_starts = FastMap::default();
         for service in table.services() {
-            let cold = (service.cold_start_ms, service.cold_per_s);
+            let cold = (service.cold_start_ms, service.cold_requests_per_s);
             cold_starts.insert(service.name.clone(), cold);
             if let Some(stage) = service.stage {
                 self.stages.configure(&service.name, stage);
