--- a/crates/core/src/membership/assignment.rs
+++ b/crates/core/src/membership/assignment.rs
@@ -6,9 +6,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct SubsetSizes {
     /// Number of upstreams of a pool that every entry gets, as far as there are that many.
-    pub size: usize,
+    pub upstreams_per_entry: usize,
     /// Number of entries that every upstream gets at least, as far as there are that many.
-    pub coverage: usize,
+    pub entries_per_upstream: usize,
 }
 
 /// Assigns upstreams of one pool to the entry `own` and returns their indices in order.
@@ -30,12 +30,12 @@
         let own_rank = (own_score, own_hash);
         let better =
             other_hashes.iter().filter(|it| (score(**it, *upstream_hash), **it) > own_rank);
-        if better.take(sizes.coverage).count() < sizes.coverage {
+        if better.take(sizes.entries_per_upstream).count() < sizes.entries_per_upstream {
             chosen.insert(index);
         }
     }
     ranked.sort_unstable();
-    for (_, _, index) in ranked.iter().rev().take(sizes.size) {
+    for (_, _, index) in ranked.iter().rev().take(sizes.upstreams_per_entry) {
         chosen.insert(*index);
     }
     let mut indices: Vec<usize> = chosen.into_iter().collect();
--- a/crates/core/src/membership/directory.rs
+++ b/crates/core/src/membership/directory.rs
@@ -4,7 +4,7 @@
 
 use slotmap::{SlotMap, new_key_type};
 
-use super::{Evidence, InstanceRecord, InstanceRole, Sabotage, Upstream};
+use super::{AgentReport, InstanceRecord, InstanceRole, Sabotage, Upstream};
 use crate::{
     FastMap, FastSet, control::OperationsRecord, ids::Incarnation, outcome::Reason, switch::Switch,
 };
@@ -62,7 +62,7 @@
 
     /// Takes over the instance list; returns false if a newer one is known.
     pub fn apply_list(&mut self, list: InstanceList) -> bool {
-        if list.version < self.list_version && !self.switch.is_off(Sabotage::ListVersion) {
+        if list.version < self.list_version && !self.switch.is_off(Sabotage::ListVersionCheck) {
             return false;
         }
         self.list_version = list.version;
@@ -101,9 +101,9 @@
     pub fn contact_succeeded(
         &mut self,
         key: UpstreamKey,
-        evidence: Evidence,
+        report: AgentReport,
     ) -> Option<Incarnation> {
-        self.upstreams.get_mut(key)?.contacted(evidence, &self.switch)
+        self.upstreams.get_mut(key)?.contacted(report, &self.switch)
     }
 
     /// Notes at `now_ms` that an agent could not be reached or did not answer in time.
@@ -212,7 +212,7 @@
             if listed.contains(&key) {
                 continue;
             }
-            upstream.is_listed = self.switch.is_off(Sabotage::ListedOnly);
+            upstream.is_listed = self.switch.is_off(Sabotage::ListMembership);
             if upstream.is_forgettable() {
                 forgettable.push(key);
             }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -14,7 +14,7 @@
 pub use assignment::{SubsetSizes, gossip_peers, subset};
 pub use directory::{Directory, InstanceList, UpstreamKey};
 pub use sabotage::Sabotage;
-pub use upstream::{Evidence, Upstream};
+pub use upstream::{AgentReport, Upstream};
 
 use std::net::SocketAddr;
 
--- a/crates/core/src/membership/sabotage.rs
+++ b/crates/core/src/membership/sabotage.rs
@@ -4,15 +4,15 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
     /// Let an older instance list replace a newer one.
-    ListVersion,
+    ListVersionCheck,
     /// Let the instance list clear what an agent said about itself.
-    DirectEvidence,
+    ReportOverList,
     /// Take answers of an agent in the order in which they arrive.
-    EvidenceOrder,
+    ReportOrder,
     /// Keep sending work to an upstream that can't be reached.
     ContactFailure,
     /// Keep sending work to an upstream that vanished from the list.
-    ListedOnly,
+    ListMembership,
     /// Ignore the operational state.
     Operations,
 }
--- a/crates/core/src/membership/tests.rs
+++ b/crates/core/src/membership/tests.rs
@@ -24,8 +24,8 @@
     InstanceList { version, instances }
 }
 
-fn evidence(sent_ms: u64, incarnation: u64, agent_now_ms: u64, is_draining: bool) -> Evidence {
-    Evidence { sent_ms, incarnation: Incarnation(incarnation), agent_now_ms, is_draining }
+fn report(sent_ms: u64, incarnation: u64, agent_now_ms: u64, is_draining: bool) -> AgentReport {
+    AgentReport { sent_ms, incarnation: Incarnation(incarnation), agent_now_ms, is_draining }
 }
 
 /// A directory with one upstream that was contacted at time ten.
@@ -34,7 +34,7 @@
     directory.apply_list(list(1, vec![record("engine-1", InstanceState::Live)]));
     let key = directory.key("engine-1").unwrap();
     assert_eq!(directory.check(key), Err(Reason::NoUpstream));
-    directory.contact_succeeded(key, evidence(10, 1, 10, false));
+    directory.contact_succeeded(key, report(10, 1, 10, false));
     assert_eq!(directory.candidates("models"), [key]);
     (directory, key)
 }
@@ -42,10 +42,10 @@
 #[test]
 fn a_late_list_does_not_bring_back_an_upstream_that_refused() {
     let (mut directory, key) = directory();
-    directory.contact_succeeded(key, evidence(20, 1, 20, true));
+    directory.contact_succeeded(key, report(20, 1, 20, true));
     directory.apply_list(list(2, vec![record("engine-1", InstanceState::Live)]));
     assert_eq!(directory.check(key), Err(Reason::Leaving));
-    directory.contact_succeeded(key, evidence(30, 1, 30, false));
+    directory.contact_succeeded(key, report(30, 1, 30, false));
     assert_eq!(directory.check(key), Ok(()));
 }
 
@@ -72,20 +72,20 @@
 fn an_unreachable_upstream_gets_no_work_until_it_answers_a_later_question() {
     let (mut directory, key) = directory();
     directory.contact_failed(key, 50);
-    directory.contact_succeeded(key, evidence(49, 1, 60, false));
+    directory.contact_succeeded(key, report(49, 1, 60, false));
     assert_eq!(directory.check(key), Err(Reason::AgentLost));
-    directory.contact_succeeded(key, evidence(51, 1, 61, false));
+    directory.contact_succeeded(key, report(51, 1, 61, false));
     assert_eq!(directory.check(key), Ok(()));
 }
 
 #[test]
 fn answers_of_an_agent_count_in_the_order_in_which_they_were_given() {
     let (mut directory, key) = directory();
-    directory.contact_succeeded(key, evidence(30, 1, 90, true));
-    directory.contact_succeeded(key, evidence(40, 1, 45, false));
+    directory.contact_succeeded(key, report(30, 1, 90, true));
+    directory.contact_succeeded(key, report(40, 1, 45, false));
     assert_eq!(directory.check(key), Err(Reason::Leaving));
-    assert_eq!(directory.contact_succeeded(key, evidence(50, 2, 1, false)), Some(Incarnation(1)),);
-    assert_eq!(directory.contact_succeeded(key, evidence(45, 1, 99, true)), None);
+    assert_eq!(directory.contact_succeeded(key, report(50, 2, 1, false)), Some(Incarnation(1)),);
+    assert_eq!(directory.contact_succeeded(key, report(45, 1, 99, true)), None);
     assert_eq!(directory.check(key), Ok(()));
 }
 
@@ -103,7 +103,7 @@
 
 #[test]
 fn a_small_pool_is_assigned_whole() {
-    let sizes = SubsetSizes { size: 8, coverage: 2 };
+    let sizes = SubsetSizes { upstreams_per_entry: 8, entries_per_upstream: 2 };
     assert_eq!(subset(&["a", "b"], &["x", "y", "z"], "a", sizes), [0, 1, 2]);
 }
 
--- a/crates/core/src/membership/upstream.rs
+++ b/crates/core/src/membership/upstream.rs
@@ -7,7 +7,7 @@
 
 /// What an answer of an agent shows about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Evidence {
+pub struct AgentReport {
     /// Time before the question was sent, on the entry's clock in milliseconds.
     pub sent_ms: u64,
     /// The run of the agent that answered.
@@ -26,7 +26,7 @@
     pub(super) is_out: bool,
     pub(super) is_leaving: bool,
     in_progress: u32,
-    contact: Option<Evidence>,
+    contact: Option<AgentReport>,
     /// Time at which the last contact failed, on the entry's clock in milliseconds.
     failed_ms: Option<u64>,
 }
@@ -103,7 +103,7 @@
     /// Takes over a newer record of the list.
     pub(super) fn relist(&mut self, record: InstanceRecord, switch: &Switch<Sabotage>) {
         if let Some(contact) = &mut self.contact
-            && switch.is_off(Sabotage::DirectEvidence)
+            && switch.is_off(Sabotage::ReportOverList)
         {
             contact.is_draining = record.state == InstanceState::Leaving;
         }
@@ -116,25 +116,25 @@
     /// Returns the run of the agent that this answer replaces.
     pub(super) fn contacted(
         &mut self,
-        evidence: Evidence,
+        report: AgentReport,
         switch: &Switch<Sabotage>,
     ) -> Option<Incarnation> {
-        let is_ordered = !switch.is_off(Sabotage::EvidenceOrder);
-        let is_late = self.contact.is_some_and(|known| !is_later(&evidence, &known));
+        let is_ordered = !switch.is_off(Sabotage::ReportOrder);
+        let is_late = self.contact.is_some_and(|known| !is_later(&report, &known));
         if is_late && is_ordered {
             return None;
         }
         // A failure is cleared only by a question that was sent after it.
-        if self.failed_ms.is_some_and(|it| evidence.sent_ms >= it) {
+        if self.failed_ms.is_some_and(|it| report.sent_ms >= it) {
             self.failed_ms = None;
         }
-        let replaced = self.incarnation().filter(|it| *it != evidence.incarnation);
+        let replaced = self.incarnation().filter(|it| *it != report.incarnation);
         let known_sent_ms = match replaced {
             Some(_) => None,
             None => self.contact.map(|it| it.sent_ms),
         };
-        let sent_ms = known_sent_ms.map_or(evidence.sent_ms, |it| it.max(evidence.sent_ms));
-        self.contact = Some(Evidence { sent_ms, ..evidence });
+        let sent_ms = known_sent_ms.map_or(report.sent_ms, |it| it.max(report.sent_ms));
+        self.contact = Some(AgentReport { sent_ms, ..report });
         replaced
     }
 
@@ -162,9 +162,9 @@
 ///
 /// Answers of one run are ordered by the agent's clock, since an answer may be held back on
 /// purpose. Another run replaces the known one only if it answered a later question.
-fn is_later(evidence: &Evidence, known: &Evidence) -> bool {
-    match evidence.incarnation == known.incarnation {
-        true => evidence.agent_now_ms >= known.agent_now_ms,
-        false => evidence.sent_ms > known.sent_ms,
+fn is_later(report: &AgentReport, known: &AgentReport) -> bool {
+    match report.incarnation == known.incarnation {
+        true => report.agent_now_ms >= known.agent_now_ms,
+        false => report.sent_ms > known.sent_ms,
     }
 }
--- a/crates/core/tests/membership_fuzz/assignment.rs
+++ b/crates/core/tests/membership_fuzz/assignment.rs
@@ -19,8 +19,8 @@
 }
 
 /// Largest number of upstreams that the coverage may give to one entry.
-fn coverage_bound(upstreams: usize, entries: usize, coverage: usize) -> f64 {
-    let mean = (upstreams * coverage.min(entries)) as f64 / entries as f64;
+fn coverage_bound(upstreams: usize, entries: usize, entries_per_upstream: usize) -> f64 {
+    let mean = (upstreams * entries_per_upstream.min(entries)) as f64 / entries as f64;
     mean + 5.0 * mean.sqrt() + 5.0
 }
 
@@ -31,22 +31,22 @@
     fn every_upstream_is_covered_and_every_subset_is_bounded(
         entries in names("entry", 24),
         upstreams in names("engine", 120),
-        size in 1..16_usize,
-        coverage in 1..4_usize,
+        upstreams_per_entry in 1..16_usize,
+        entries_per_upstream in 1..4_usize,
     ) {
         let (entries, upstreams) = (as_strs(&entries), as_strs(&upstreams));
-        let sizes = SubsetSizes { size, coverage };
+        let sizes = SubsetSizes { upstreams_per_entry, entries_per_upstream };
         let mut covering = vec![0; upstreams.len()];
-        let bound = coverage_bound(upstreams.len(), entries.len(), coverage);
+        let bound = coverage_bound(upstreams.len(), entries.len(), entries_per_upstream);
         for own in &entries {
             let chosen = subset(&entries, &upstreams, own, sizes);
-            prop_assert!(chosen.len() >= size.min(upstreams.len()));
-            prop_assert!(chosen.len() as f64 <= size as f64 + bound);
+            prop_assert!(chosen.len() >= upstreams_per_entry.min(upstreams.len()));
+            prop_assert!(chosen.len() as f64 <= upstreams_per_entry as f64 + bound);
             for index in chosen {
                 covering[index] += 1;
             }
         }
-        prop_assert!(covering.iter().all(|it| *it >= coverage.min(entries.len())));
+        prop_assert!(covering.iter().all(|it| *it >= entries_per_upstream.min(entries.len())));
     }
 
     #[test]
@@ -59,7 +59,7 @@
         let before = as_strs(&entries);
         let leaving = before[leaving.index(before.len())];
         let after: Vec<&str> = before.iter().copied().filter(|it| *it != leaving).collect();
-        let sizes = SubsetSizes { size: 6, coverage: 2 };
+        let sizes = SubsetSizes { upstreams_per_entry: 6, entries_per_upstream: 2 };
         let handed_over = subset(&before, &upstreams, leaving, sizes);
         let mut gained = 0;
         for own in &after {
@@ -80,7 +80,7 @@
         upstreams in names("engine", 60),
     ) {
         let (mut entries, mut upstreams) = (as_strs(&entries), as_strs(&upstreams));
-        let sizes = SubsetSizes { size: 5, coverage: 2 };
+        let sizes = SubsetSizes { upstreams_per_entry: 5, entries_per_upstream: 2 };
         let own = entries[0];
         let chosen = subset(&entries, &upstreams, own, sizes);
         let mut expected: Vec<&str> = chosen.iter().map(|it| upstreams[*it]).collect();
--- a/crates/core/tests/membership_fuzz/main.rs
+++ b/crates/core/tests/membership_fuzz/main.rs
@@ -81,11 +81,11 @@
 #[test]
 fn the_oracle_notices_each_missing_mechanism() {
     for off in [
-        Sabotage::ListVersion,
-        Sabotage::DirectEvidence,
-        Sabotage::EvidenceOrder,
+        Sabotage::ListVersionCheck,
+        Sabotage::ReportOverList,
+        Sabotage::ReportOrder,
         Sabotage::ContactFailure,
-        Sabotage::ListedOnly,
+        Sabotage::ListMembership,
         Sabotage::Operations,
     ] {
         harness::assert_caught::<FleetWorld>(RUN, off);
--- a/crates/core/tests/membership_fuzz/world.rs
+++ b/crates/core/tests/membership_fuzz/world.rs
@@ -6,8 +6,8 @@
     control::{OperationsChange, OperationsRecord},
     ids::Incarnation,
     membership::{
-        Directory, Evidence, InstanceList, InstanceRecord, InstanceRole, InstanceState, Sabotage,
-        UpstreamKey,
+        AgentReport, Directory, InstanceList, InstanceRecord, InstanceRole, InstanceState,
+        Sabotage, UpstreamKey,
     },
 };
 
@@ -24,7 +24,7 @@
     lists: Vec<InstanceList>,
     newest_list: InstanceList,
     questions: Vec<Question>,
-    answers: Vec<(Question, Evidence)>,
+    answers: Vec<(Question, AgentReport)>,
     /// What was delivered about each upstream and each process of it.
     known: Vec<Known>,
     working: Vec<UpstreamKey>,
@@ -52,7 +52,7 @@
 #[derive(Clone, Default)]
 struct Known {
     /// The answer that was given last, among those delivered, with the time at which it was given.
-    answer: Option<(u64, UpstreamKey, Evidence)>,
+    answer: Option<(u64, UpstreamKey, AgentReport)>,
     /// Time of the last failure, and of the last question that was answered.
     failed_ms: Option<u64>,
     answered_sent_ms: Option<u64>,
@@ -184,28 +184,28 @@
             self.fail(question.upstream, question.key);
             return;
         }
-        let evidence = Evidence {
+        let report = AgentReport {
             sent_ms: question.sent_ms,
             incarnation: Incarnation(asked.incarnation),
             agent_now_ms: self.now_ms - asked.started_ms,
             is_draining: asked.is_draining,
         };
-        self.answers.push((Question { sent_ms: self.now_ms, ..question }, evidence));
+        self.answers.push((Question { sent_ms: self.now_ms, ..question }, report));
     }
 
     pub(crate) fn deliver_answer(&mut self, index: usize) {
         if self.answers.is_empty() {
             return;
         }
-        let (given, evidence) = self.answers.remove(index % self.answers.len());
+        let (given, report) = self.answers.remove(index % self.answers.len());
         let known = &mut self.known[given.upstream];
         let is_newest = known.answer.is_none_or(|it| it.0 <= given.sent_ms);
         // Answers of a process at a former address tell nothing about the present one.
         if self.directory.key(&name(given.upstream)) == Some(given.key) && is_newest {
-            known.answer = Some((given.sent_ms, given.key, evidence));
+            known.answer = Some((given.sent_ms, given.key, report));
         }
-        known.answered_sent_ms = known.answered_sent_ms.max(Some(evidence.sent_ms));
-        self.directory.contact_succeeded(given.key, evidence);
+        known.answered_sent_ms = known.answered_sent_ms.max(Some(report.sent_ms));
+        self.directory.contact_succeeded(given.key, report);
     }
 
     fn fail(&mut self, upstream: usize, key: UpstreamKey) {
@@ -249,10 +249,10 @@
             assert!(!is_out && !is_leaving, "an upstream gets work against the operators");
             let index = (0..UPSTREAMS).find(|it| name(*it) == upstream.name());
             let known = &self.known[index.expect("a known name")];
-            let (_, answering, evidence) = known.answer.expect("a candidate has answered");
+            let (_, answering, report) = known.answer.expect("a candidate has answered");
             assert_eq!(answering, key, "a process gets work on the word of a former one");
-            assert!(!evidence.is_draining, "a draining upstream gets work");
-            assert_eq!(upstream.incarnation(), Some(evidence.incarnation));
+            assert!(!report.is_draining, "a draining upstream gets work");
+            assert_eq!(upstream.incarnation(), Some(report.incarnation));
             assert!(known.answered_sent_ms >= known.failed_ms, "an unreachable upstream gets work");
         }
     }
--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -14,7 +14,7 @@
     FastMap,
     ids::{Digest, Incarnation},
     membership::{
-        Directory, Evidence, InstanceList, InstanceRecord, SubsetSizes, UpstreamKey, subset,
+        AgentReport, Directory, InstanceList, InstanceRecord, SubsetSizes, UpstreamKey, subset,
     },
     outcome::Reason,
     quarantine::alone_upstream,
@@ -29,7 +29,7 @@
 use crate::{link::Link, strikes::Strikes};
 
 /// Bounds of the upstreams of one pool that an entry connects to.
-const SUBSET_SIZES: SubsetSizes = SubsetSizes { size: 8, coverage: 3 };
+const SUBSET_SIZES: SubsetSizes = SubsetSizes { upstreams_per_entry: 8, entries_per_upstream: 3 };
 /// Shortest time between two heartbeats on a connection, in milliseconds.
 const MIN_HEARTBEAT_MS: u64 = 500;
 /// Longest time between two heartbeats on a connection, in milliseconds.
@@ -228,14 +228,14 @@
     pub(crate) fn on_reply(&self, key: UpstreamKey, feedback: &Feedback, sent_ms: u64) {
         let now_ms = self.clock.now_ms();
         self.strikes.merge(&feedback.strikes, now_ms);
-        let evidence = Evidence {
+        let report = AgentReport {
             sent_ms,
             incarnation: feedback.incarnation,
             agent_now_ms: feedback.now_ms,
             is_draining: feedback.load.draining,
         };
         let mut state = self.lock();
-        state.directory.contact_succeeded(key, evidence);
+        state.directory.contact_succeeded(key, report);
         if let Some((view, member)) = state.view(key) {
             view.on_reply(now_ms, member, feedback.load);
         }
--- a/crates/fakes/src/capacity/decisions.rs
+++ b/crates/fakes/src/capacity/decisions.rs
@@ -23,7 +23,7 @@
 /// Entries of an assignment.
 const ASSIGNING_ENTRIES: usize = 360;
 /// Bounds of an assignment, as in the entry.
-const SUBSET_SIZES: SubsetSizes = SubsetSizes { size: 8, coverage: 3 };
+const SUBSET_SIZES: SubsetSizes = SubsetSizes { upstreams_per_entry: 8, entries_per_upstream: 3 };
 /// Attempts that an agent remembers when the next ones are timed.
 const REMEMBERED: [u32; 4] = [5_000, 10_000, 20_000, 40_000];
 /// Attempts timed at each size.
--- a/crates/fakes/src/capacity/product.rs
+++ b/crates/fakes/src/capacity/product.rs
@@ -12,7 +12,7 @@
 /// Pools among which the upstreams are divided evenly, one for each model.
 const POOLS: usize = 23;
 /// Bounds of the upstreams of a pool that an entry connects to, as in the entry.
-const SUBSET_SIZES: SubsetSizes = SubsetSizes { size: 8, coverage: 3 };
+const SUBSET_SIZES: SubsetSizes = SubsetSizes { upstreams_per_entry: 8, entries_per_upstream: 3 };
 /// Requests a second at the peak.
 const REQUESTS_PER_SECOND: f64 = 6_200.0;
 /// Tokens generated a second at the peak.
@@ -142,7 +142,7 @@
     let gossip = slopes.gossip_bytes.fit.slope * 2.0;
     let mut variants = Vec::new();
     for (subset_size, heartbeat_seconds) in VARIANTS {
-        let sizes = SubsetSizes { size: subset_size, ..SUBSET_SIZES };
+        let sizes = SubsetSizes { upstreams_per_entry: subset_size, ..SUBSET_SIZES };
         let connections = Connections::with(sizes);
         let rate = |links: f64| links / heartbeat_seconds;
         variants.push(Variant {
@@ -189,7 +189,7 @@
         line("exchange among entries, traffic", gossip, "bytes/s", TRAFFIC_BUDGET_BYTES),
         line(
             "routing decisions, processor",
-            slopes.routing.fit.at(SUBSET_SIZES.size as f64) * attempts,
+            slopes.routing.fit.at(SUBSET_SIZES.upstreams_per_entry as f64) * attempts,
             "us/s",
             CPU_BUDGET_US,
         ),
