--- a/crates/core/src/agent/dispatch.rs
+++ b/crates/core/src/agent/dispatch.rs
@@ -40,7 +40,7 @@
                 return None;
             }
             self.capacity.on_tick(now_ms);
-            if !self.capacity.has_room() {
+            if !self.capacity.can_start() {
                 return None;
             }
             let Some(next) = self.pop(now_ms) else {
--- a/crates/core/src/agent/probing.rs
+++ b/crates/core/src/agent/probing.rs
@@ -31,7 +31,7 @@
 
     /// Tells whether a jump of the latency contradicts probes that report warmth.
     pub fn doubts_probes(&self) -> bool {
-        self.capacity.doubts_probes()
+        self.capacity.distrusts_probes()
     }
 
     /// Takes the result of a probe; returns new strikes.
--- a/crates/core/src/capacity/mod.rs
+++ b/crates/core/src/capacity/mod.rs
@@ -96,11 +96,11 @@
     /// Connection failures and resets are ignored.
     IgnoreReset,
     /// Evidence of warmth counts whenever it was asked for.
-    AcceptOldEvidence,
+    AcceptStaleEvidence,
     /// The upstream counts as warm from the start.
     StartWarm,
     /// The limit rises to its maximum as soon as the upstream is warm.
-    NoRamp,
+    NoSlowStart,
 }
 
 #[derive(Clone, Copy, Debug)]
@@ -132,7 +132,7 @@
     /// Whether probes report warmth or its lack.
     reports_warmth: bool,
     /// Whether a latency jump contradicts probes that report warmth.
-    doubts_probes: bool,
+    distrusts_probes: bool,
     calls: SlotMap<CallKey, Call>,
     ramp: Ramp,
     #[cfg(feature = "sabotage")]
@@ -148,7 +148,7 @@
             epoch: Epoch(0),
             boot_id: None,
             reports_warmth: false,
-            doubts_probes: false,
+            distrusts_probes: false,
             calls: SlotMap::with_key(),
             ramp: Ramp::new(config.cold_limit(), config.ceiling()),
             #[cfg(feature = "sabotage")]
@@ -189,8 +189,8 @@
     }
 
     /// Tells whether a jump of the latency contradicts probes that report warmth.
-    pub fn doubts_probes(&self) -> bool {
-        self.doubts_probes
+    pub fn distrusts_probes(&self) -> bool {
+        self.distrusts_probes
     }
 
     /// Returns the number of calls that the upstream can bear at once in a cold start.
@@ -218,14 +218,14 @@
     }
 
     /// Tells whether a call may start now.
-    pub fn has_room(&self) -> bool {
+    pub fn can_start(&self) -> bool {
         self.running() < self.limit()
     }
 
     /// Starts a call that is expected to take `expected_ms`, if the limit allows it.
     pub fn try_start(&mut self, now_ms: u64, expected_ms: u64) -> Option<CallKey> {
         self.on_tick(now_ms);
-        if !self.has_room() {
+        if !self.can_start() {
             return None;
         }
 
@@ -248,7 +248,7 @@
         match self.phase {
             Phase::Stopped { .. } => {}
             // The upstream itself knows better than its latency whether it is warm.
-            Phase::Cold { .. } if self.reports_warmth && !self.doubts_probes => {}
+            Phase::Cold { .. } if self.reports_warmth && !self.distrusts_probes => {}
             Phase::Cold { steady, last_ratio } => {
                 self.on_cold_sample(steady, last_ratio, ratio, ok)
             }
@@ -303,7 +303,7 @@
 
     /// Ends a backoff that is over and checks the calls in progress for a latency jump.
     ///
-    /// Call it before [`Capacity::has_room`] or [`Capacity::limit`].
+    /// Call it before [`Capacity::can_start`] or [`Capacity::limit`].
     pub fn on_tick(&mut self, now_ms: u64) {
         if let Phase::Stopped { until_ms: Some(until_ms) } = self.phase
             && now_ms >= until_ms
@@ -351,14 +351,14 @@
 
     fn on_jump(&mut self) {
         self.clamp();
-        self.doubts_probes = true;
+        self.distrusts_probes = true;
     }
 
     fn become_warm(&mut self) {
         if self.phase == Phase::Warm {
             return;
         }
-        self.doubts_probes = false;
+        self.distrusts_probes = false;
         self.phase = Phase::Warm;
         self.ramp.restart();
     }
@@ -366,7 +366,7 @@
     /// Assumes a cold start: whatever was known of the upstream before counts no more.
     fn clamp(&mut self) {
         self.phase = COLD;
-        self.doubts_probes = false;
+        self.distrusts_probes = false;
         self.epoch.0 = self.epoch.0.wrapping_add(1);
     }
 
@@ -382,12 +382,12 @@
     }
 
     fn shows_warmth(&self, probe: &Probe) -> bool {
-        self.counts_in_epoch(probe.epoch) && !self.doubts_probes
+        self.counts_in_epoch(probe.epoch) && !self.distrusts_probes
     }
 
     fn counts_in_epoch(&self, epoch: Epoch) -> bool {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Sabotage::AcceptOldEvidence {
+        if self.sabotage == Sabotage::AcceptStaleEvidence {
             return true;
         }
         epoch == self.epoch
@@ -403,7 +403,7 @@
 
     fn warm_limit(&self) -> u32 {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Sabotage::NoRamp {
+        if self.sabotage == Sabotage::NoSlowStart {
             return self.config.ceiling();
         }
         self.ramp.limit()
--- a/crates/core/tests/capacity_fuzz.rs
+++ b/crates/core/tests/capacity_fuzz.rs
@@ -239,9 +239,9 @@
     let mechanisms = [
         Sabotage::IgnoreBootId,
         Sabotage::IgnoreReset,
-        Sabotage::AcceptOldEvidence,
+        Sabotage::AcceptStaleEvidence,
         Sabotage::StartWarm,
-        Sabotage::NoRamp,
+        Sabotage::NoSlowStart,
     ];
     for sabotage in mechanisms {
         assert!(run(sabotage).is_err(), "{sabotage:?} went unnoticed");
--- a/crates/fakes/src/model/agent.rs
+++ b/crates/fakes/src/model/agent.rs
@@ -166,7 +166,7 @@
         }
 
         self.capacity.on_tick(now_ms);
-        if !self.capacity.has_room() {
+        if !self.capacity.can_start() {
             return None;
         }
         let next = self.queue.pop(now_ms)?;
