--- a/crates/core/src/routing/pool.rs
+++ b/crates/core/src/routing/pool.rs
@@ -6,7 +6,7 @@
 use crate::routing::{
     UpstreamKey,
     choose::Candidate,
-    health::{Health, Standing},
+    health::{Health, HealthStatus},
     hints::{CacheEvent, PrefixHints},
 };
 
@@ -23,7 +23,8 @@
     /// Calls that the upstream may run at once.
     pub limit: u32,
     /// Calls that the upstream is expected to run at once shortly.
-    pub outlook: u32,
+    #[serde(rename = "outlook")]
+    pub projected_limit: u32,
     /// Whether the upstream is in a cold start.
     pub cold: bool,
     /// Whether the agent refuses new work.
@@ -34,7 +35,7 @@
     /// Returns what is assumed of an upstream that has not reported: cold and idle.
     pub fn unknown(cold_limit: u32) -> Self {
         let limit = cold_limit.max(1);
-        Self { running: 0, queued: 0, limit, outlook: limit, cold: true, draining: false }
+        Self { running: 0, queued: 0, limit, projected_limit: limit, cold: true, draining: false }
     }
 }
 
@@ -46,9 +47,9 @@
     /// Calls that run or wait at them.
     pub outstanding: u32,
     /// Part of the outstanding calls that this entry sent.
-    pub own: u32,
+    pub own_outstanding: u32,
     /// Calls that they are expected to run at once shortly.
-    pub limit: u32,
+    pub projected_limit: u32,
 }
 
 /// How an attempt ended, as far as the health of the upstream is concerned.
@@ -225,9 +226,9 @@
         let ignores_ejection = self.ignores_ejection(now_ms);
         for (key, upstream) in &self.upstreams {
             let health = &self.health[key];
-            let standing = match ignores_ejection {
-                true => Standing::InService,
-                false => health.standing(now_ms),
+            let health_status = match ignores_ejection {
+                true => HealthStatus::InService,
+                false => health.status(now_ms),
             };
             let ratio = health.latency_ratio().unwrap_or(pool_ratio);
             candidates.push(Candidate {
@@ -238,7 +239,7 @@
                 in_flight: upstream.in_flight,
                 latency_factor: ratio / pool_ratio,
                 is_local: upstream.is_local,
-                standing,
+                health_status,
                 has_prefix: prefix.is_some_and(|it| self.hints.holds(key, it)),
                 tried: tried.contains(&key),
             });
@@ -270,14 +271,14 @@
         for (key, upstream) in &self.upstreams {
             let load = upstream.current_load(now_ms);
             let is_in_service =
-                ignores_ejection || self.health[key].standing(now_ms) == Standing::InService;
+                ignores_ejection || self.health[key].status(now_ms) == HealthStatus::InService;
             if load.draining || !is_in_service {
                 continue;
             }
             pool.upstreams += 1;
             pool.outstanding += load.running + load.queued + upstream.sent_since_reply;
-            pool.own += upstream.in_flight;
-            pool.limit += load.outlook;
+            pool.own_outstanding += upstream.in_flight;
+            pool.projected_limit += load.projected_limit;
         }
         pool
     }
@@ -289,7 +290,7 @@
     fn ignores_ejection(&self, now_ms: u64) -> bool {
         for (key, upstream) in &self.upstreams {
             let is_open = !upstream.current_load(now_ms).draining;
-            if is_open && self.health[key].standing(now_ms) == Standing::InService {
+            if is_open && self.health[key].status(now_ms) == HealthStatus::InService {
                 return false;
             }
         }
@@ -314,7 +315,8 @@
         if self.sabotage == Sabotage::EjectAll {
             return true;
         }
-        let in_service = |it: UpstreamKey| self.health[it].standing(now_ms) == Standing::InService;
+        let in_service =
+            |it: UpstreamKey| self.health[it].status(now_ms) == HealthStatus::InService;
         let ejected = self.upstreams.keys().filter(|&it| it != key && !in_service(it)).count();
         (ejected + 1) * 2 <= self.upstreams.len()
     }
