--- a/crates/agent/src/executor.rs
+++ b/crates/agent/src/executor.rs
@@ -10,7 +10,7 @@
 use tokio_util::sync::CancellationToken;
 use yuccatrail_core::{
     FastMap, FastSet,
-    agent::{AgentCore, CallResult, Dispatch, ProbeResult, SubmitOrder},
+    agent::{AgentCore, CallResult, Dispatch, ProbeResult, Submission},
     attempt::{AttemptKey, AttemptLookup, Progress},
     control::{ControlUpdate, Versions},
     ids::{AttemptId, Incarnation},
@@ -265,7 +265,7 @@
     /// Hands an attempt to the core; returns its state if it is not waiting or running.
     fn accept(&self, request: SubmitRequest) -> Option<AttemptState> {
         let attempt = request.attempt;
-        let order = SubmitOrder {
+        let order = Submission {
             attempt,
             agent: request.agent,
             pool: request.pool,
--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -1,7 +1,7 @@
 //! Embeds the agent's decisions in a program of one's own: no I/O, explicit time.
 
 use yuccatrail_core::{
-    agent::{AgentCore, AgentSettings, CallResult, ProbeResult, SubmitOrder},
+    agent::{AgentCore, AgentSettings, CallResult, ProbeResult, Submission},
     attempt::AttemptLookup,
     control::{ConfigRecord, ControlState, ControlUpdate, OperationsRecord},
     drain::{FreshnessSettings, GateSettings},
@@ -65,8 +65,8 @@
     state
 }
 
-fn order(agent: Incarnation) -> SubmitOrder {
-    SubmitOrder {
+fn order(agent: Incarnation) -> Submission {
+    Submission {
         attempt: AttemptId {
             request: RequestId(7),
             stage: StageIndex(0),
--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -30,7 +30,7 @@
 
 /// An attempt that an entry hands to the agent.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct SubmitOrder {
+pub struct Submission {
     /// The attempt.
     pub attempt: AttemptId,
     /// The run of the agent that the entry chose.
@@ -195,20 +195,20 @@
     }
 
     /// Accepts or refuses an attempt.
-    pub fn submit(&mut self, order: &SubmitOrder, now_ms: u64) -> AttemptLookup {
-        if order.agent != self.settings.incarnation {
+    pub fn submit(&mut self, submission: &Submission, now_ms: u64) -> AttemptLookup {
+        if submission.agent != self.settings.incarnation {
             return AttemptLookup::Unknown;
         }
-        let key = match self.ledger.submit(order.attempt, order.dispatch_by_ms, now_ms) {
+        let key = match self.ledger.submit(submission.attempt, submission.dispatch_by_ms, now_ms) {
             SubmitResult::Queued(key) => key,
-            SubmitResult::Joined(_) => return self.read(order.attempt, 0, 0),
+            SubmitResult::Joined(_) => return self.read(submission.attempt, 0, 0),
             SubmitResult::NotRun(refusal) => return AttemptLookup::NotRun(refusal),
             SubmitResult::Unknown => return AttemptLookup::Unknown,
         };
-        if let Err(reason) = self.enqueue(key, order, now_ms) {
+        if let Err(reason) = self.enqueue(key, submission, now_ms) {
             self.refuse(key, reason, now_ms);
         }
-        self.read(order.attempt, 0, 0)
+        self.read(submission.attempt, 0, 0)
     }
 
     /// Appends a chunk to the output of a running attempt.
@@ -343,12 +343,18 @@
         });
     }
 
-    fn enqueue(&mut self, key: AttemptKey, order: &SubmitOrder, now_ms: u64) -> Result<(), Reason> {
+    fn enqueue(
+        &mut self,
+        key: AttemptKey,
+        submission: &Submission,
+        now_ms: u64,
+    ) -> Result<(), Reason> {
         self.gate.may_accept(now_ms)?;
-        if order.pool != self.settings.pool {
+        if submission.pool != self.settings.pool {
             return Err(Reason::WrongUpstream);
         }
-        let admission = self.quarantine.admit_submit(order.fingerprint, &order.strikes, now_ms);
+        let admission =
+            self.quarantine.admit_submit(submission.fingerprint, &submission.strikes, now_ms);
         let alone = match admission {
             Some(Admission::Normal) => false,
             Some(Admission::Alone) => true,
@@ -356,14 +362,14 @@
             None => return Err(Reason::Suspected),
         };
         let entry = QueueEntry {
-            attempt: order.attempt,
-            customer: self.queue.customer(&order.customer, 1),
-            deadline_ms: order.deadline_ms,
-            dispatch_by_ms: order.dispatch_by_ms,
-            estimate_ms: order.estimate_ms,
+            attempt: submission.attempt,
+            customer: self.queue.customer(&submission.customer, 1),
+            deadline_ms: submission.deadline_ms,
+            dispatch_by_ms: submission.dispatch_by_ms,
+            estimate_ms: submission.estimate_ms,
             alone,
         };
-        self.push(key, entry, order.fingerprint, now_ms)
+        self.push(key, entry, submission.fingerprint, now_ms)
     }
 
     pub(super) fn push(
--- a/crates/core/src/agent/mod.rs
+++ b/crates/core/src/agent/mod.rs
@@ -14,7 +14,7 @@
 #[cfg(feature = "sabotage")]
 pub use self::settings::Sabotage;
 pub use self::{
-    core::{AgentCore, Dispatch, SubmitOrder},
+    core::{AgentCore, Dispatch, Submission},
     settings::AgentSettings,
     stops::{CallResult, ProbeResult, ProbeTicket},
 };
--- a/crates/core/tests/agent_fuzz/main.rs
+++ b/crates/core/tests/agent_fuzz/main.rs
@@ -8,7 +8,7 @@
 use proptest::prelude::*;
 use yuccatrail_core::{
     FastMap,
-    agent::{AgentCore, AgentSettings, CallResult, ProbeResult, ProbeTicket, SubmitOrder},
+    agent::{AgentCore, AgentSettings, CallResult, ProbeResult, ProbeTicket, Submission},
     attempt::{AttemptLookup, Progress},
     control::{ConfigRecord, ControlState, ControlUpdate, OperationsRecord},
     drain::{FreshnessSettings, GateSettings},
@@ -97,7 +97,7 @@
     /// Event in which each attempt was accepted.
     arrived_steps: FastMap<AttemptId, u64>,
     boot_id: Option<u64>,
-    orders: FastMap<AttemptId, SubmitOrder>,
+    orders: FastMap<AttemptId, Submission>,
     submitted: Vec<AttemptId>,
     oracle: Oracle,
 }
@@ -189,11 +189,12 @@
             return;
         }
         let now_ms = self.now_ms;
-        let order = order(request, customer, now_ms + dispatch_in_ms, now_ms + deadline_in_ms);
-        self.orders.insert(attempt, order.clone());
+        let submission =
+            submission(request, customer, now_ms + dispatch_in_ms, now_ms + deadline_in_ms);
+        self.orders.insert(attempt, submission.clone());
         self.submitted.push(attempt);
         self.arrived_steps.insert(attempt, self.step);
-        let lookup = self.core.submit(&order, self.now_ms);
+        let lookup = self.core.submit(&submission, self.now_ms);
         self.oracle.on_told(attempt, &lookup);
     }
 
@@ -209,8 +210,8 @@
             return;
         }
         let attempt = self.submitted[index % self.submitted.len()];
-        let order = self.orders[&attempt].clone();
-        let lookup = self.core.submit(&order, self.now_ms);
+        let submission = self.orders[&attempt].clone();
+        let lookup = self.core.submit(&submission, self.now_ms);
         self.oracle.on_told(attempt, &lookup);
     }
 
@@ -224,8 +225,8 @@
             return;
         }
         // The cancel has fixed the limit of an attempt that was not submitted yet.
-        let order = order(request, false, dispatch_by_ms, dispatch_by_ms + 100);
-        self.orders.insert(attempt, order);
+        let submission = submission(request, false, dispatch_by_ms, dispatch_by_ms + 100);
+        self.orders.insert(attempt, submission);
         self.submitted.push(attempt);
     }
 
@@ -296,9 +297,9 @@
             self.oracle.is_unconfirmed = false;
         }
         while let Some(dispatch) = self.core.next(self.now_ms) {
-            let order = self.orders[&dispatch.attempt].clone();
+            let submission = self.orders[&dispatch.attempt].clone();
             let arrived_step = self.arrived_steps[&dispatch.attempt];
-            self.oracle.on_dispatch(dispatch, &order, arrived_step, self.now_ms);
+            self.oracle.on_dispatch(dispatch, &submission, arrived_step, self.now_ms);
         }
     }
 
@@ -330,8 +331,8 @@
     }
 }
 
-fn order(request: u8, is_large: bool, dispatch_by_ms: u64, deadline_ms: u64) -> SubmitOrder {
-    SubmitOrder {
+fn submission(request: u8, is_large: bool, dispatch_by_ms: u64, deadline_ms: u64) -> Submission {
+    Submission {
         attempt: attempt(request),
         agent: AGENT,
         pool: "engines".to_owned(),
@@ -409,8 +410,9 @@
 #[test]
 fn an_attempt_for_another_pool_is_refused() {
     let mut sut = Sut::start();
-    let order = SubmitOrder { pool: "rerankers".to_owned(), ..order(1, false, 1_000, 1_000) };
-    let AttemptLookup::NotRun(refusal) = sut.core.submit(&order, 0) else {
+    let submission =
+        Submission { pool: "rerankers".to_owned(), ..submission(1, false, 1_000, 1_000) };
+    let AttemptLookup::NotRun(refusal) = sut.core.submit(&submission, 0) else {
         panic!("accepted for another pool");
     };
     assert_eq!(refusal.reason, Reason::WrongUpstream);
--- a/crates/core/tests/agent_fuzz/oracle.rs
+++ b/crates/core/tests/agent_fuzz/oracle.rs
@@ -2,7 +2,7 @@
 
 use yuccatrail_core::{
     FastSet,
-    agent::{Dispatch, SubmitOrder},
+    agent::{Dispatch, Submission},
     attempt::AttemptLookup,
     capacity::WARM_COMPLETIONS,
     ids::AttemptId,
@@ -37,7 +37,7 @@
     pub(crate) fn on_dispatch(
         &mut self,
         dispatch: Dispatch,
-        order: &SubmitOrder,
+        submission: &Submission,
         arrived_step: u64,
         now_ms: u64,
     ) {
@@ -45,7 +45,7 @@
         assert!(!self.told_not_run.contains(&dispatch.attempt), "dispatched after not-run");
         assert!(!self.is_closed, "new work after the gate closed");
         assert!(!self.is_unconfirmed, "new work after a pause without confirmation");
-        assert!(now_ms <= order.dispatch_by_ms, "dispatched after its limit");
+        assert!(now_ms <= submission.dispatch_by_ms, "dispatched after its limit");
         if self.running.len() >= COLD_LIMIT {
             let shown = self.shown_warm.expect("a start beyond the cold limit without a probe");
             assert!(now_ms <= shown.sent_ms + EVIDENCE_AGE_MS, "a start on an old probe");
--- a/crates/fakes/src/capacity/decisions.rs
+++ b/crates/fakes/src/capacity/decisions.rs
@@ -3,7 +3,7 @@
 use std::{hint::black_box, time::Instant};
 
 use yuccatrail_core::{
-    agent::{AgentCore, AgentSettings, CallResult, ProbeResult, SubmitOrder},
+    agent::{AgentCore, AgentSettings, CallResult, ProbeResult, Submission},
     control::{ConfigRecord, ControlState, ControlUpdate, OperationsRecord},
     drain::{FreshnessSettings, GateSettings},
     ids::{AttemptId, Digest, Incarnation, RequestId, StageIndex},
@@ -157,14 +157,14 @@
     }
 }
 
-fn order(number: u32) -> SubmitOrder {
+fn order(number: u32) -> Submission {
     let attempt = AttemptId {
         request: RequestId(u128::from(number)),
         stage: StageIndex(0),
         number: 0,
         entry: Incarnation(2),
     };
-    SubmitOrder {
+    Submission {
         attempt,
         agent: AGENT,
         pool: "work-orders".to_owned(),
