--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -8,7 +8,7 @@
 use tokio_util::sync::CancellationToken;
 use yuccatrail_core::{
     agent::{AgentCore, AgentSettings},
-    drain::{FreshnessSettings, GateSettings, PlannedStop, StopPhase, StopSettings},
+    drain::{FreshnessSettings, GateSettings, GracefulShutdown, ShutdownPhase, ShutdownSettings},
     ids::Incarnation,
 };
 use yuccatrail_runtime::{clock::Clock, control::SharedControl, shutdown};
@@ -100,12 +100,12 @@
 async fn stop(executor: &Arc<Executor>, clock: Clock, limit_ms: u64) {
     info!("planned stop begins");
     executor.stop();
-    let settings = StopSettings { notice_ms: STOP_NOTICE_MS, time_limit_ms: Some(limit_ms) };
-    let mut planned = PlannedStop::new(settings);
+    let settings = ShutdownSettings { notice_ms: STOP_NOTICE_MS, time_limit_ms: Some(limit_ms) };
+    let mut planned = GracefulShutdown::new(settings);
     planned.begin(clock.now_ms());
     loop {
         let (in_progress, _) = executor.remaining();
-        if let StopPhase::Finished { cut } = planned.advance(clock.now_ms(), in_progress) {
+        if let ShutdownPhase::Finished { cut } = planned.advance(clock.now_ms(), in_progress) {
             report_cut(cut);
             break;
         }
--- a/crates/core/src/drain/mod.rs
+++ b/crates/core/src/drain/mod.rs
@@ -1,13 +1,13 @@
 //! Refusal of new work while an upstream, a data centre or a process goes out of service.
 //!
 //! An agent asks its [`Gate`] before it accepts and before it dispatches a call. A process that is
-//! told to stop follows its [`PlannedStop`]. Neither ever cuts work in progress, except when an
+//! told to stop follows its [`GracefulShutdown`]. Neither ever cuts work in progress, except when an
 //! operator has set a time limit for the stop.
 
 mod freshness;
 mod gate;
 mod sabotage;
-mod stop;
+mod shutdown;
 
 #[cfg(test)]
 mod tests;
@@ -15,4 +15,4 @@
 pub use freshness::{Freshness, FreshnessSettings};
 pub use gate::{DispatchHold, Gate, GateChange, GateSettings};
 pub use sabotage::Sabotage;
-pub use stop::{PlannedStop, StopPhase, StopSettings};
+pub use shutdown::{GracefulShutdown, ShutdownPhase, ShutdownSettings};
--- a/crates/core/src/drain/stop.rs
+++ b/crates/core/src/drain/shutdown.rs
@@ -5,7 +5,7 @@
 
 /// Times of a planned stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub struct StopSettings {
+pub struct ShutdownSettings {
     /// Shortest time for which the process stays up and refuses new work, in milliseconds, so that
     /// load balancers and peers notice before the address stops answering.
     pub notice_ms: u64,
@@ -15,7 +15,7 @@
 
 /// Phase of a process with respect to its planned stop.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum StopPhase {
+pub enum ShutdownPhase {
     /// The process is in service.
     Running,
     /// The process is not ready, refuses new work and finishes the work in progress.
@@ -29,17 +29,17 @@
 
 /// Carries a process through a planned stop.
 #[derive(Clone, Debug)]
-pub struct PlannedStop {
-    settings: StopSettings,
-    phase: StopPhase,
+pub struct GracefulShutdown {
+    settings: ShutdownSettings,
+    phase: ShutdownPhase,
     began_ms: u64,
     switch: Switch<Sabotage>,
 }
 
-impl PlannedStop {
+impl GracefulShutdown {
     /// Creates the state of a running process.
-    pub fn new(settings: StopSettings) -> Self {
-        Self { settings, phase: StopPhase::Running, began_ms: 0, switch: Switch::new() }
+    pub fn new(settings: ShutdownSettings) -> Self {
+        Self { settings, phase: ShutdownPhase::Running, began_ms: 0, switch: Switch::new() }
     }
 
     /// Turns one mechanism off.
@@ -50,16 +50,16 @@
 
     /// Begins the stop; a repeated signal changes nothing.
     pub fn begin(&mut self, now_ms: u64) {
-        if self.phase != StopPhase::Running {
+        if self.phase != ShutdownPhase::Running {
             return;
         }
-        self.phase = StopPhase::Draining;
+        self.phase = ShutdownPhase::Draining;
         self.began_ms = now_ms;
     }
 
     /// Moves on with the number of calls in progress and returns the phase.
-    pub fn advance(&mut self, now_ms: u64, in_progress: u32) -> StopPhase {
-        if self.phase != StopPhase::Draining {
+    pub fn advance(&mut self, now_ms: u64, in_progress: u32) -> ShutdownPhase {
+        if self.phase != ShutdownPhase::Draining {
             return self.phase;
         }
         let elapsed_ms = now_ms.saturating_sub(self.began_ms);
@@ -67,18 +67,18 @@
         let is_noticed = elapsed_ms >= self.settings.notice_ms;
         let is_over = self.settings.time_limit_ms.is_some_and(|it| elapsed_ms >= it);
         if is_idle && is_noticed || is_over {
-            self.phase = StopPhase::Finished { cut: in_progress };
+            self.phase = ShutdownPhase::Finished { cut: in_progress };
         }
         self.phase
     }
 
     /// The phase after the last event.
-    pub fn phase(&self) -> StopPhase {
+    pub fn phase(&self) -> ShutdownPhase {
         self.phase
     }
 
     /// Tells whether the process reports itself ready and takes new work.
     pub fn is_ready(&self) -> bool {
-        self.phase == StopPhase::Running
+        self.phase == ShutdownPhase::Running
     }
 }
--- a/crates/core/src/drain/tests.rs
+++ b/crates/core/src/drain/tests.rs
@@ -102,20 +102,21 @@
 
 #[test]
 fn finishes_a_planned_stop_when_idle() {
-    let mut stop = PlannedStop::new(StopSettings { notice_ms: 100, time_limit_ms: None });
-    assert_eq!(stop.advance(0, 0), StopPhase::Running);
+    let mut stop = GracefulShutdown::new(ShutdownSettings { notice_ms: 100, time_limit_ms: None });
+    assert_eq!(stop.advance(0, 0), ShutdownPhase::Running);
     stop.begin(1_000);
     assert!(!stop.is_ready());
-    assert_eq!(stop.advance(1_050, 0), StopPhase::Draining);
-    assert_eq!(stop.advance(900_000, 1), StopPhase::Draining);
-    assert_eq!(stop.advance(900_001, 0), StopPhase::Finished { cut: 0 });
+    assert_eq!(stop.advance(1_050, 0), ShutdownPhase::Draining);
+    assert_eq!(stop.advance(900_000, 1), ShutdownPhase::Draining);
+    assert_eq!(stop.advance(900_001, 0), ShutdownPhase::Finished { cut: 0 });
 }
 
 #[test]
 fn tells_how_many_calls_the_time_limit_cuts() {
-    let mut stop = PlannedStop::new(StopSettings { notice_ms: 0, time_limit_ms: Some(50) });
+    let mut stop =
+        GracefulShutdown::new(ShutdownSettings { notice_ms: 0, time_limit_ms: Some(50) });
     stop.begin(0);
     stop.begin(40);
-    assert_eq!(stop.advance(49, 3), StopPhase::Draining);
-    assert_eq!(stop.advance(50, 3), StopPhase::Finished { cut: 3 });
+    assert_eq!(stop.advance(49, 3), ShutdownPhase::Draining);
+    assert_eq!(stop.advance(50, 3), ShutdownPhase::Finished { cut: 3 });
 }
--- a/crates/core/tests/drain_fuzz/world.rs
+++ b/crates/core/tests/drain_fuzz/world.rs
@@ -8,8 +8,8 @@
         SYNC_INTERVAL_MS,
     },
     drain::{
-        Freshness, FreshnessSettings, Gate, GateChange, GateSettings, PlannedStop, Sabotage,
-        StopPhase, StopSettings,
+        Freshness, FreshnessSettings, Gate, GateChange, GateSettings, GracefulShutdown, Sabotage,
+        ShutdownPhase, ShutdownSettings,
     },
     ids::Digest,
     membership::InstanceState,
@@ -49,7 +49,7 @@
     data_centre: String,
     control: ControlState,
     gate: Gate,
-    stop: PlannedStop,
+    stop: GracefulShutdown,
     pub(crate) is_frozen: bool,
     pub(crate) links: [bool; ENTRIES],
     inbox: Vec<Reply>,
@@ -309,7 +309,7 @@
         };
         let mut gate = Gate::new(settings, 0);
         sabotage!(gate, off);
-        let mut stop = PlannedStop::new(StopSettings::default());
+        let mut stop = GracefulShutdown::new(ShutdownSettings::default());
         sabotage!(stop, off);
         Self {
             name,
@@ -363,7 +363,7 @@
     }
 
     fn advance_stop(&mut self, now_ms: u64) {
-        if let StopPhase::Finished { cut } = self.stop.advance(now_ms, self.running) {
+        if let ShutdownPhase::Finished { cut } = self.stop.advance(now_ms, self.running) {
             assert_eq!((cut, self.running), (0, 0), "a planned stop cuts work in progress");
         }
     }
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -5,7 +5,7 @@
 use log::{LevelFilter, error, info, warn};
 use tokio::{net::TcpListener, task::JoinSet};
 use tokio_util::sync::CancellationToken;
-use yuccatrail_core::drain::{PlannedStop, StopPhase, StopSettings};
+use yuccatrail_core::drain::{GracefulShutdown, ShutdownPhase, ShutdownSettings};
 use yuccatrail_platform::{Client, ClientSettings};
 use yuccatrail_runtime::{http, logging, shutdown};
 
@@ -115,14 +115,14 @@
 async fn stop(entry: &Entry, settings: &Settings) {
     info!("planned stop begins");
     entry.begin_stop();
-    let mut planned = PlannedStop::new(StopSettings {
+    let mut planned = GracefulShutdown::new(ShutdownSettings {
         notice_ms: settings.stop_notice_ms,
         time_limit_ms: Some(settings.stop_limit_ms),
     });
     planned.begin(entry.clock.now_ms());
     loop {
         let phase = planned.advance(entry.clock.now_ms(), entry.in_progress());
-        if let StopPhase::Finished { cut } = phase {
+        if let ShutdownPhase::Finished { cut } = phase {
             if cut > 0 {
                 warn!(cut = cut; "the time limit of the planned stop cuts work in progress");
             }
