--- a/crates/core/src/control/promote.rs
+++ b/crates/core/src/control/change.rs
@@ -40,7 +40,7 @@
 
 /// Answer of the platform to the last action of a flow.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PromoteEvent<T> {
+pub enum ChangeEvent<T> {
     /// The read found the object.
     Read {
         /// Revision of the object, on which a write can be made conditional.
@@ -64,7 +64,7 @@
 
 /// What the caller of a flow does next.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum PromoteAction<T> {
+pub enum ChangeAction<T> {
     /// Read the object; after a failed call, with a delay.
     Read,
     /// Write the object if its revision is `if_revision`, or if it does not exist when that is
@@ -76,12 +76,12 @@
         stored: Stored<T>,
     },
     /// Report the result.
-    Finished(PromoteResult),
+    Finished(ChangeResult),
 }
 
 /// Result of a change.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum PromoteResult {
+pub enum ChangeResult {
     /// The change was accepted and will be in force everywhere.
     #[display("accepted as version {version}")]
     Accepted {
@@ -111,7 +111,7 @@
 }
 
 /// Carries one change of an operator through to a result.
-pub struct PromoteFlow<T> {
+pub struct ChangeFlow<T> {
     author: AuthorToken,
     propose: Propose<T>,
     identify: fn(&T) -> Identity,
@@ -150,7 +150,7 @@
     is_ambiguous: bool,
 }
 
-impl PromoteFlow<ConfigRecord> {
+impl ChangeFlow<ConfigRecord> {
     /// Prepares the promotion of a document.
     ///
     /// With `expected_version` the flow reports a conflict unless that version is in force; zero
@@ -181,10 +181,10 @@
     }
 }
 
-impl PromoteFlow<OperationsRecord> {
+impl ChangeFlow<OperationsRecord> {
     /// Prepares a change to the operational state, which is made again on a newer state if another
     /// change wins the race.
-    pub fn operate(change: OperationsChange, author: AuthorToken) -> Self {
+    pub fn change_operations(change: OperationsChange, author: AuthorToken) -> Self {
         let propose = move |current: Option<&OperationsRecord>| {
             let initial = OperationsRecord::initial();
             match current.unwrap_or(&initial).with(&change) {
@@ -198,7 +198,7 @@
     }
 }
 
-impl<T: Clone> PromoteFlow<T> {
+impl<T: Clone> ChangeFlow<T> {
     fn new(
         author: AuthorToken,
         propose: Propose<T>,
@@ -228,23 +228,23 @@
     }
 
     /// Returns the first action.
-    pub fn start(&mut self) -> PromoteAction<T> {
+    pub fn start(&mut self) -> ChangeAction<T> {
         self.read()
     }
 
     /// Takes the answer to the last action and returns the next one.
-    pub fn handle(&mut self, event: PromoteEvent<T>) -> PromoteAction<T> {
+    pub fn handle(&mut self, event: ChangeEvent<T>) -> ChangeAction<T> {
         match event {
-            PromoteEvent::Read { revision, stored } => self.on_read(revision, stored),
-            PromoteEvent::Missing => self.on_missing(),
-            PromoteEvent::ReadFailed | PromoteEvent::Unavailable => self.read(),
-            PromoteEvent::Written => self.on_written(),
-            PromoteEvent::Conflict => self.on_conflict(),
-            PromoteEvent::AnswerLost => self.on_answer_lost(),
+            ChangeEvent::Read { revision, stored } => self.on_read(revision, stored),
+            ChangeEvent::Missing => self.on_missing(),
+            ChangeEvent::ReadFailed | ChangeEvent::Unavailable => self.read(),
+            ChangeEvent::Written => self.on_written(),
+            ChangeEvent::Conflict => self.on_conflict(),
+            ChangeEvent::AnswerLost => self.on_answer_lost(),
         }
     }
 
-    fn on_read(&mut self, revision: u64, stored: Stored<T>) -> PromoteAction<T> {
+    fn on_read(&mut self, revision: u64, stored: Stored<T>) -> ChangeAction<T> {
         let Some(write) = self.write.take() else {
             return self.propose(Some(revision), Some(&stored));
         };
@@ -261,28 +261,28 @@
         };
         match change {
             Some(change) if change.author == self.author => {
-                finish(PromoteResult::Accepted { version: write.version })
+                finish(ChangeResult::Accepted { version: write.version })
             }
             Some(_) => self.lost_race(revision, &stored),
-            None if write.is_ambiguous => finish(PromoteResult::Undecided),
+            None if write.is_ambiguous => finish(ChangeResult::Undecided),
             None => self.lost_race(revision, &stored),
         }
     }
 
     /// Goes on after another change took the place of ours, whose condition can't hold any more.
-    fn lost_race(&mut self, revision: u64, stored: &Stored<T>) -> PromoteAction<T> {
+    fn lost_race(&mut self, revision: u64, stored: &Stored<T>) -> ChangeAction<T> {
         let is_overwriting = self.switch.is_off(Sabotage::ConflictReport);
         if self.is_reapplied || is_overwriting {
             return self.propose(Some(revision), Some(stored));
         }
         let current = (self.identify)(&stored.record);
         if matches!((self.propose)(Some(&stored.record)), Proposal::InForce) {
-            return finish(PromoteResult::AlreadyInForce { version: current.version });
+            return finish(ChangeResult::AlreadyInForce { version: current.version });
         }
         finish(conflict_with(current))
     }
 
-    fn on_missing(&mut self) -> PromoteAction<T> {
+    fn on_missing(&mut self) -> ChangeAction<T> {
         let Some(write) = self.write.take() else {
             return self.propose(None, None);
         };
@@ -291,28 +291,28 @@
         }
         // The object existed and is gone, and the history with it.
         match write.is_ambiguous {
-            true => finish(PromoteResult::Undecided),
-            false => finish(PromoteResult::NotAccepted),
+            true => finish(ChangeResult::Undecided),
+            false => finish(ChangeResult::NotAccepted),
         }
     }
 
-    fn on_written(&mut self) -> PromoteAction<T> {
+    fn on_written(&mut self) -> ChangeAction<T> {
         match &self.write {
-            Some(write) => finish(PromoteResult::Accepted { version: write.version }),
+            Some(write) => finish(ChangeResult::Accepted { version: write.version }),
             None => self.read(),
         }
     }
 
-    fn on_conflict(&mut self) -> PromoteAction<T> {
+    fn on_conflict(&mut self) -> ChangeAction<T> {
         if self.switch.is_off(Sabotage::ReadBackAfterConflict) {
-            return finish(PromoteResult::NotAccepted);
+            return finish(ChangeResult::NotAccepted);
         }
         self.read()
     }
 
-    fn on_answer_lost(&mut self) -> PromoteAction<T> {
+    fn on_answer_lost(&mut self) -> ChangeAction<T> {
         if self.switch.is_off(Sabotage::ReadBack) {
-            return finish(PromoteResult::NotAccepted);
+            return finish(ChangeResult::NotAccepted);
         }
         if let Some(write) = &mut self.write {
             write.is_ambiguous = true;
@@ -325,14 +325,14 @@
         &mut self,
         if_revision: Option<u64>,
         current: Option<&Stored<T>>,
-    ) -> PromoteAction<T> {
+    ) -> ChangeAction<T> {
         let identity = current.map(|it| (self.identify)(&it.record));
         let record = match (self.propose)(current.map(|it| &it.record)) {
             Proposal::Record(record) => record,
             Proposal::InForce => {
                 let initial = OperationsRecord::initial();
                 let version = identity.map_or(initial.version, |it| it.version);
-                return finish(PromoteResult::AlreadyInForce { version });
+                return finish(ChangeResult::AlreadyInForce { version });
             }
             Proposal::Unexpected => {
                 let none = Identity { version: 0, digest: Digest([0; 32]) };
@@ -345,34 +345,34 @@
         self.send(SentWrite { if_revision, stored, version, is_ambiguous: false })
     }
 
-    fn send(&mut self, write: SentWrite<T>) -> PromoteAction<T> {
+    fn send(&mut self, write: SentWrite<T>) -> ChangeAction<T> {
         let action =
-            PromoteAction::Write { if_revision: write.if_revision, stored: write.stored.clone() };
+            ChangeAction::Write { if_revision: write.if_revision, stored: write.stored.clone() };
         self.write = Some(write);
         self.call(action)
     }
 
-    fn read(&mut self) -> PromoteAction<T> {
-        self.call(PromoteAction::Read)
+    fn read(&mut self) -> ChangeAction<T> {
+        self.call(ChangeAction::Read)
     }
 
     /// Lets a call pass while the limit allows it.
-    fn call(&mut self, action: PromoteAction<T>) -> PromoteAction<T> {
+    fn call(&mut self, action: ChangeAction<T>) -> ChangeAction<T> {
         if self.calls_left > 0 {
             self.calls_left -= 1;
             return action;
         }
         match self.write.as_ref().is_some_and(|it| it.is_ambiguous) {
-            true => finish(PromoteResult::Undecided),
-            false => finish(PromoteResult::NotAccepted),
+            true => finish(ChangeResult::Undecided),
+            false => finish(ChangeResult::NotAccepted),
         }
     }
 }
 
-fn finish<T>(result: PromoteResult) -> PromoteAction<T> {
-    PromoteAction::Finished(result)
+fn finish<T>(result: ChangeResult) -> ChangeAction<T> {
+    ChangeAction::Finished(result)
 }
 
-fn conflict_with(current: Identity) -> PromoteResult {
-    PromoteResult::Conflict { current_version: current.version, digest: current.digest }
+fn conflict_with(current: Identity) -> ChangeResult {
+    ChangeResult::Conflict { current_version: current.version, digest: current.digest }
 }
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,10 +1,10 @@
 //! Versions of the shared control state: configuration and operational state.
 //!
 //! Each process holds a [`ControlState`], which only ever moves to higher versions. Operators
-//! change the state with a [`PromoteFlow`], which accepts a change by one conditional update.
+//! change the state with a [`ChangeFlow`], which accepts a change by one conditional update.
 
 mod operations;
-mod promote;
+mod change;
 mod sabotage;
 mod state;
 mod stored;
@@ -12,8 +12,8 @@
 #[cfg(test)]
 mod tests;
 
+pub use change::{AuthorToken, ChangeAction, ChangeEvent, ChangeFlow, ChangeResult};
 pub use operations::OperationsChange;
-pub use promote::{AuthorToken, PromoteAction, PromoteEvent, PromoteFlow, PromoteResult};
 pub use sabotage::Sabotage;
 pub use state::{Adopted, Adoption, ControlState};
 pub use stored::{HistoryEntry, Stored, StoredConfig, StoredOperations};
--- a/crates/core/src/control/tests.rs
+++ b/crates/core/src/control/tests.rs
@@ -64,68 +64,68 @@
 
 #[test]
 fn promotes_the_first_document() {
-    let mut flow = PromoteFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
-    assert_eq!(flow.start(), PromoteAction::Read);
-    let PromoteAction::Write { if_revision: None, stored } = flow.handle(PromoteEvent::Missing)
+    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
+    assert_eq!(flow.start(), ChangeAction::Read);
+    let ChangeAction::Write { if_revision: None, stored } = flow.handle(ChangeEvent::Missing)
     else {
         panic!("a missing object is created");
     };
     assert_eq!(stored.record, config(1, TEXT));
-    let result = flow.handle(PromoteEvent::Written);
-    assert_eq!(result, PromoteAction::Finished(PromoteResult::Accepted { version: 1 }));
+    let result = flow.handle(ChangeEvent::Written);
+    assert_eq!(result, ChangeAction::Finished(ChangeResult::Accepted { version: 1 }));
 }
 
 #[test]
 fn finds_its_change_in_the_history_after_a_lost_answer() {
-    let mut flow = PromoteFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
+    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
     flow.start();
-    let PromoteAction::Write { stored, .. } = flow.handle(PromoteEvent::Missing) else {
+    let ChangeAction::Write { stored, .. } = flow.handle(ChangeEvent::Missing) else {
         panic!("a missing object is created");
     };
-    assert_eq!(flow.handle(PromoteEvent::AnswerLost), PromoteAction::Read);
+    assert_eq!(flow.handle(ChangeEvent::AnswerLost), ChangeAction::Read);
     let record = config(2, "");
     let entry = HistoryEntry { version: 2, digest: record.digest, author: author(2) };
     let newer = Stored::following(Some(&stored), record, entry);
-    let result = flow.handle(PromoteEvent::Read { revision: 2, stored: newer });
-    assert_eq!(result, PromoteAction::Finished(PromoteResult::Accepted { version: 1 }));
+    let result = flow.handle(ChangeEvent::Read { revision: 2, stored: newer });
+    assert_eq!(result, ChangeAction::Finished(ChangeResult::Accepted { version: 1 }));
 }
 
 #[test]
 fn sends_an_unsettled_write_again_under_the_same_condition() {
-    let mut flow = PromoteFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
+    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
     flow.start();
-    let write = flow.handle(PromoteEvent::Missing);
-    assert_eq!(flow.handle(PromoteEvent::AnswerLost), PromoteAction::Read);
-    assert_eq!(flow.handle(PromoteEvent::Missing), write);
+    let write = flow.handle(ChangeEvent::Missing);
+    assert_eq!(flow.handle(ChangeEvent::AnswerLost), ChangeAction::Read);
+    assert_eq!(flow.handle(ChangeEvent::Missing), write);
 }
 
 #[test]
 fn reports_the_winner_of_a_race() {
-    let mut flow = PromoteFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
+    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
     flow.start();
-    flow.handle(PromoteEvent::Missing);
-    assert_eq!(flow.handle(PromoteEvent::Conflict), PromoteAction::Read);
+    flow.handle(ChangeEvent::Missing);
+    assert_eq!(flow.handle(ChangeEvent::Conflict), ChangeAction::Read);
     let record = config(1, "");
     let digest = record.digest;
     let entry = HistoryEntry { version: 1, digest, author: author(2) };
     let stored = Stored::following(None, record, entry);
-    let result = flow.handle(PromoteEvent::Read { revision: 1, stored });
-    let conflict = PromoteResult::Conflict { current_version: 1, digest };
-    assert_eq!(result, PromoteAction::Finished(conflict));
+    let result = flow.handle(ChangeEvent::Read { revision: 1, stored });
+    let conflict = ChangeResult::Conflict { current_version: 1, digest };
+    assert_eq!(result, ChangeAction::Finished(conflict));
 }
 
 #[test]
 fn makes_an_operations_change_again_on_the_newer_state() {
     let out = |name: &str| OperationsChange::DataCentreOut(name.to_owned());
-    let mut flow = PromoteFlow::operate(out("east"), author(1));
+    let mut flow = ChangeFlow::change_operations(out("east"), author(1));
     flow.start();
-    flow.handle(PromoteEvent::Missing);
-    flow.handle(PromoteEvent::Conflict);
+    flow.handle(ChangeEvent::Missing);
+    flow.handle(ChangeEvent::Conflict);
     let record = OperationsRecord::initial().with(&out("west")).unwrap();
     let entry = HistoryEntry { version: 2, digest: record.digest(), author: author(2) };
     let stored = Stored::following(None, record, entry);
-    let action = flow.handle(PromoteEvent::Read { revision: 1, stored });
-    let PromoteAction::Write { if_revision: Some(1), stored } = action else {
+    let action = flow.handle(ChangeEvent::Read { revision: 1, stored });
+    let ChangeAction::Write { if_revision: Some(1), stored } = action else {
         panic!("the change is made again");
     };
     assert_eq!(stored.record.data_centres_out, ["east", "west"]);
--- a/crates/core/tests/control_fuzz/object.rs
+++ b/crates/core/tests/control_fuzz/object.rs
@@ -1,7 +1,7 @@
 //! One object of the platform with the flows that change it.
 
 use yuccatrail_core::control::{
-    AuthorToken, HistoryEntry, PromoteAction, PromoteEvent, PromoteFlow, PromoteResult, Stored,
+    AuthorToken, ChangeAction, ChangeEvent, ChangeFlow, ChangeResult, HistoryEntry, Stored,
 };
 
 /// Calls of a flow below which it has not used up its limit.
@@ -27,8 +27,8 @@
 }
 
 struct Operator<T> {
-    flow: PromoteFlow<T>,
-    action: PromoteAction<T>,
+    flow: ChangeFlow<T>,
+    action: ChangeAction<T>,
     /// Version that the operator saw first.
     base: Option<u64>,
     calls: u32,
@@ -40,7 +40,7 @@
         Self { stored: None, late, log, operators, refused, is_base_checked }
     }
 
-    pub(crate) fn begin(&mut self, mut flow: PromoteFlow<T>) {
+    pub(crate) fn begin(&mut self, mut flow: ChangeFlow<T>) {
         let action = flow.start();
         self.operators.push(Operator { flow, action, base: None, calls: 0 });
     }
@@ -72,7 +72,7 @@
     pub(crate) fn call(&mut self, operator: usize, fate: Fate, is_up: bool) {
         let mut unfinished = vec![];
         for (index, operator) in self.operators.iter().enumerate() {
-            if !matches!(operator.action, PromoteAction::Finished(_)) {
+            if !matches!(operator.action, ChangeAction::Finished(_)) {
                 unfinished.push(index);
             }
         }
@@ -82,29 +82,29 @@
         let index = unfinished[operator % unfinished.len()];
         let action = self.operators[index].action.clone();
         let event = match (action, fate) {
-            (PromoteAction::Finished(_), _) => unreachable!("only unfinished flows are called"),
-            (PromoteAction::Read, Fate::Answered) if is_up => match self.stored.clone() {
-                Some((revision, stored)) => PromoteEvent::Read { revision, stored },
-                None => PromoteEvent::Missing,
+            (ChangeAction::Finished(_), _) => unreachable!("only unfinished flows are called"),
+            (ChangeAction::Read, Fate::Answered) if is_up => match self.stored.clone() {
+                Some((revision, stored)) => ChangeEvent::Read { revision, stored },
+                None => ChangeEvent::Missing,
             },
-            (PromoteAction::Read, _) => PromoteEvent::ReadFailed,
-            (PromoteAction::Write { if_revision, stored }, Fate::EffectDelayed) => {
+            (ChangeAction::Read, _) => ChangeEvent::ReadFailed,
+            (ChangeAction::Write { if_revision, stored }, Fate::EffectDelayed) => {
                 self.late.push((if_revision, stored));
-                PromoteEvent::AnswerLost
+                ChangeEvent::AnswerLost
             }
-            (_, Fate::Unavailable) => PromoteEvent::Unavailable,
-            _ if !is_up => PromoteEvent::Unavailable,
-            (PromoteAction::Write { if_revision, stored }, fate) => {
+            (_, Fate::Unavailable) => ChangeEvent::Unavailable,
+            _ if !is_up => ChangeEvent::Unavailable,
+            (ChangeAction::Write { if_revision, stored }, fate) => {
                 let is_written = self.write(if_revision, stored);
                 match (fate, is_written) {
-                    (Fate::AnswerLostAfterEffect, _) => PromoteEvent::AnswerLost,
-                    (_, true) => PromoteEvent::Written,
-                    (_, false) => PromoteEvent::Conflict,
+                    (Fate::AnswerLostAfterEffect, _) => ChangeEvent::AnswerLost,
+                    (_, true) => ChangeEvent::Written,
+                    (_, false) => ChangeEvent::Conflict,
                 }
             }
         };
         let version = self.version();
-        let is_read = matches!(event, PromoteEvent::Read { .. } | PromoteEvent::Missing);
+        let is_read = matches!(event, ChangeEvent::Read { .. } | ChangeEvent::Missing);
         let operator = &mut self.operators[index];
         if is_read {
             operator.base.get_or_insert(version);
@@ -116,7 +116,7 @@
 
     /// Carries all flows to their results without further faults.
     pub(crate) fn finish(&mut self) {
-        let is_finished = |it: &Operator<T>| matches!(it.action, PromoteAction::Finished(_));
+        let is_finished = |it: &Operator<T>| matches!(it.action, ChangeAction::Finished(_));
         while !self.operators.iter().all(is_finished) {
             self.call(0, Fate::Answered, true);
         }
@@ -125,21 +125,21 @@
     /// Compares a reported result with what took effect.
     fn judge(&mut self, index: usize) {
         let operator = &self.operators[index];
-        let PromoteAction::Finished(result) = operator.action else {
+        let ChangeAction::Finished(result) = operator.action else {
             return;
         };
         let author = operator.flow.author();
         let own = self.log.iter().find(|it| it.author == author);
         match result {
-            PromoteResult::Accepted { version } => {
+            ChangeResult::Accepted { version } => {
                 let own = own.expect("an accepted change took effect");
                 assert_eq!(own.version, version);
                 if self.is_base_checked {
                     assert_eq!(operator.base, Some(version - 1), "a change was overwritten unseen");
                 }
             }
-            PromoteResult::Undecided => assert!(operator.calls > UNLIMITED_CALLS),
-            PromoteResult::Conflict { current_version, digest } => {
+            ChangeResult::Undecided => assert!(operator.calls > UNLIMITED_CALLS),
+            ChangeResult::Conflict { current_version, digest } => {
                 let known = (self.version(), self.log.last().map(|it| it.digest));
                 assert_eq!(known, (current_version, Some(digest)), "the winner is in force");
                 self.refused.push(author);
--- a/crates/core/tests/control_fuzz/world.rs
+++ b/crates/core/tests/control_fuzz/world.rs
@@ -4,8 +4,8 @@
 
 use yuccatrail_core::{
     control::{
-        AuthorToken, ConfigRecord, ControlState, ControlUpdate, HistoryEntry, OperationsChange,
-        OperationsRecord, PromoteFlow, Sabotage, Versions,
+        AuthorToken, ChangeFlow, ConfigRecord, ControlState, ControlUpdate, HistoryEntry,
+        OperationsChange, OperationsRecord, Sabotage, Versions,
     },
     ids::Digest,
 };
@@ -64,7 +64,7 @@
     pub(crate) fn promote(&mut self, text: u8, is_strict: bool) {
         let expected = is_strict.then(|| self.config.version());
         let text = Arc::from(format!("[[customer]]\nname = \"customer-{text}\"\n"));
-        let mut flow = PromoteFlow::promote(text, expected, self.author()).expect("a valid text");
+        let mut flow = ChangeFlow::promote(text, expected, self.author()).expect("a valid text");
         sabotage!(flow, self.off);
         self.config.begin(flow);
     }
@@ -75,7 +75,7 @@
             0 => OperationsChange::DataCentreOut(name),
             _ => OperationsChange::DataCentreIn(name),
         };
-        let mut flow = PromoteFlow::operate(change, self.author());
+        let mut flow = ChangeFlow::change_operations(change, self.author());
         sabotage!(flow, self.off);
         self.operations.begin(flow);
     }
--- a/crates/entry/src/operator/change.rs
+++ b/crates/entry/src/operator/change.rs
@@ -3,8 +3,8 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::time::Instant;
 use yuccatrail_core::control::{
-    AuthorToken, ConfigRecord, ControlUpdate, PromoteAction, PromoteEvent, PromoteFlow,
-    PromoteResult, Stored,
+    AuthorToken, ChangeAction, ChangeEvent, ChangeFlow, ChangeResult, ConfigRecord, ControlUpdate,
+    Stored,
 };
 use yuccatrail_platform::{
     Backoff, BackoffSettings, CURRENT, Client, Kind, PlatformError, ResourceVersion,
@@ -16,7 +16,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Settled<T> {
     /// Result of the change.
-    pub(crate) result: PromoteResult,
+    pub(crate) result: ChangeResult,
     /// Record that was written last, which is the accepted one if the change was accepted.
     pub(crate) written: Option<T>,
     /// Last error on the way.
@@ -27,7 +27,7 @@
     /// Returns the record that is in force through this change.
     pub(crate) fn accepted(&self) -> Option<&T> {
         match self.result {
-            PromoteResult::Accepted { .. } => self.written.as_ref(),
+            ChangeResult::Accepted { .. } => self.written.as_ref(),
             _ => None,
         }
     }
@@ -50,7 +50,7 @@
 pub(crate) async fn carry_out<T>(
     client: &Client,
     kind: Kind,
-    mut flow: PromoteFlow<T>,
+    mut flow: ChangeFlow<T>,
     deadline: Instant,
 ) -> Settled<T>
 where
@@ -60,14 +60,14 @@
     let mut action = flow.start();
     let mut written = None;
     loop {
-        if let PromoteAction::Finished(result) = action {
+        if let ChangeAction::Finished(result) = action {
             return Settled { result, written, last_error: calls.last_error };
         }
         if Instant::now() >= deadline {
             return calls.give_up();
         }
         let event = match &action {
-            PromoteAction::Write { if_revision, stored } => {
+            ChangeAction::Write { if_revision, stored } => {
                 written = Some(stored.record.clone());
                 calls.write(*if_revision, stored).await
             }
@@ -84,7 +84,7 @@
 /// Puts a document into force and passes it on to the entries.
 pub(crate) async fn put_into_force(
     client: &Client,
-    flow: PromoteFlow<ConfigRecord>,
+    flow: ChangeFlow<ConfigRecord>,
     deadline: Instant,
 ) -> Settled<ConfigRecord> {
     let change = carry_out(client, Kind::Environments, flow, deadline);
@@ -124,19 +124,19 @@
     }
 
     /// Reads the object; none means that repeating the call can't help.
-    async fn read<T: DeserializeOwned>(&mut self) -> Option<PromoteEvent<T>> {
+    async fn read<T: DeserializeOwned>(&mut self) -> Option<ChangeEvent<T>> {
         match self.client.get::<Stored<T>>(self.kind, CURRENT).await {
             Ok(Some(object)) => {
                 self.is_failing = false;
                 let revision = self.revisions.len() as u64;
                 self.revisions.push(object.resource_version);
-                Some(PromoteEvent::Read { revision, stored: object.spec })
+                Some(ChangeEvent::Read { revision, stored: object.spec })
             }
             Ok(None) => {
                 self.is_failing = false;
-                Some(PromoteEvent::Missing)
+                Some(ChangeEvent::Missing)
             }
-            Err(error) => self.failed(error, PromoteEvent::ReadFailed),
+            Err(error) => self.failed(error, ChangeEvent::ReadFailed),
         }
     }
 
@@ -145,7 +145,7 @@
         &mut self,
         if_revision: Option<u64>,
         stored: &Stored<T>,
-    ) -> Option<PromoteEvent<T>> {
+    ) -> Option<ChangeEvent<T>> {
         let result = match if_revision {
             None => self.client.create(self.kind, CURRENT, stored).await,
             Some(revision) => {
@@ -155,24 +155,20 @@
             }
         };
         match result {
-            Ok(_) => Some(PromoteEvent::Written),
+            Ok(_) => Some(ChangeEvent::Written),
             Err(PlatformError::AlreadyExists { .. } | PlatformError::Conflict { .. }) => {
                 self.is_failing = false;
-                Some(PromoteEvent::Conflict)
+                Some(ChangeEvent::Conflict)
             }
             Err(error @ PlatformError::AnswerLost { .. }) => {
                 self.is_ambiguous = true;
-                self.failed(error, PromoteEvent::AnswerLost)
+                self.failed(error, ChangeEvent::AnswerLost)
             }
-            Err(error) => self.failed(error, PromoteEvent::Unavailable),
+            Err(error) => self.failed(error, ChangeEvent::Unavailable),
         }
     }
 
-    fn failed<T>(
-        &mut self,
-        error: PlatformError,
-        event: PromoteEvent<T>,
-    ) -> Option<PromoteEvent<T>> {
+    fn failed<T>(&mut self, error: PlatformError, event: ChangeEvent<T>) -> Option<ChangeEvent<T>> {
         let is_final =
             !matches!(error, PlatformError::Unavailable { .. } | PlatformError::AnswerLost { .. });
         self.is_failing = true;
@@ -196,8 +192,8 @@
     /// Ends without the flow's result; a write without an answer may still take effect.
     fn give_up<T>(self) -> Settled<T> {
         let result = match self.is_ambiguous {
-            true => PromoteResult::Undecided,
-            false => PromoteResult::NotAccepted,
+            true => ChangeResult::Undecided,
+            false => ChangeResult::NotAccepted,
         };
         Settled { result, written: None, last_error: self.last_error }
     }
--- a/crates/entry/src/operator/operate.rs
+++ b/crates/entry/src/operator/operate.rs
@@ -4,7 +4,7 @@
 
 use bpaf::{Parser, construct};
 use yuccatrail_core::{
-    control::{ControlUpdate, OperationsChange, PromoteFlow},
+    control::{ChangeFlow, ControlUpdate, OperationsChange},
     membership::InstanceRecord,
 };
 use yuccatrail_platform::{Client, Kind};
@@ -59,7 +59,7 @@
 }
 
 async fn operate(options: &Options, client: &Client, change: OperationsChange) -> Outcome {
-    let flow = PromoteFlow::operate(change, change::new_author());
+    let flow = ChangeFlow::change_operations(change, change::new_author());
     let deadline = options.connection.deadline();
     let change = change::carry_out(client, Kind::Operations, flow, deadline);
     let (entries, settled) = tokio::join!(Entries::listed(client), change);
--- a/crates/entry/src/operator/outcome.rs
+++ b/crates/entry/src/operator/outcome.rs
@@ -7,7 +7,7 @@
 
 use derive_more::Display;
 use serde::Serialize;
-use yuccatrail_core::{control::PromoteResult, document::Fault};
+use yuccatrail_core::{control::ChangeResult, document::Fault};
 
 use super::change::Settled;
 
@@ -152,15 +152,15 @@
     fn from(settled: Settled<T>) -> Self {
         let detail = settled.detail();
         match settled.result {
-            PromoteResult::Accepted { version } => Self::Accepted { version, entries: None },
-            PromoteResult::AlreadyInForce { version } => {
+            ChangeResult::Accepted { version } => Self::Accepted { version, entries: None },
+            ChangeResult::AlreadyInForce { version } => {
                 Self::AlreadyInForce { version, entries: None }
             }
-            PromoteResult::Conflict { current_version, digest } => {
+            ChangeResult::Conflict { current_version, digest } => {
                 Self::Conflict { current_version, digest: digest.to_string() }
             }
-            PromoteResult::NotAccepted => Self::NotAccepted { detail },
-            PromoteResult::Undecided => Self::Undecided { detail },
+            ChangeResult::NotAccepted => Self::NotAccepted { detail },
+            ChangeResult::Undecided => Self::Undecided { detail },
         }
     }
 }
--- a/crates/entry/src/operator/promote.rs
+++ b/crates/entry/src/operator/promote.rs
@@ -5,7 +5,7 @@
 use bpaf::{Parser, construct, long};
 use tokio::time::Instant;
 use yuccatrail_core::{
-    control::{PromoteFlow, StoredConfig},
+    control::{ChangeFlow, StoredConfig},
     ids::Digest,
 };
 use yuccatrail_platform::{Backoff, BackoffSettings, CURRENT, Client, Kind, PlatformError};
@@ -70,7 +70,7 @@
         Ok(text) => text,
         Err(outcome) => return outcome,
     };
-    let flow = match PromoteFlow::promote(text, arguments.expect_version, change::new_author()) {
+    let flow = match ChangeFlow::promote(text, arguments.expect_version, change::new_author()) {
         Ok(flow) => flow,
         Err(faults) => return Outcome::faulty(&arguments.from, &faults),
     };
--- a/crates/entry/src/operator/trial.rs
+++ b/crates/entry/src/operator/trial.rs
@@ -3,7 +3,7 @@
 use std::{path::PathBuf, process::ExitCode};
 
 use bpaf::{Parser, construct, long, positional};
-use yuccatrail_core::control::PromoteFlow;
+use yuccatrail_core::control::ChangeFlow;
 
 use super::{
     change,
@@ -53,7 +53,7 @@
         Ok(text) => text,
         Err(outcome) => return outcome,
     };
-    let flow = match PromoteFlow::promote(text, arguments.expect_version, change::new_author()) {
+    let flow = match ChangeFlow::promote(text, arguments.expect_version, change::new_author()) {
         Ok(flow) => flow,
         Err(faults) => return Outcome::faulty(&arguments.file.display().to_string(), &faults),
     };
