--- a/crates/core/src/freshness/mod.rs
+++ b/crates/core/src/freshness/mod.rs
@@ -14,7 +14,7 @@
 
 /// What is read again after a pause.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
+pub enum PlatformData {
     /// Routes, customers and services.
     Configuration,
     /// Upstreams.
@@ -28,12 +28,12 @@
 
 /// Whether each belief has been read again since the last pause.
 #[derive(Debug)]
-pub struct BeliefFreshness {
+pub struct PlatformDataFreshness {
     /// One for each belief, in the order of their declaration.
     each: [Freshness; BELIEFS],
 }
 
-impl BeliefFreshness {
+impl PlatformDataFreshness {
     /// Creates the state of a process that begins to run.
     pub fn new(now_ms: u64) -> Self {
         let settings = FreshnessSettings {
@@ -47,7 +47,7 @@
     /// one, in milliseconds.
     ///
     /// `now_ms` has to count the time for which the whole instance was suspended.
-    pub fn note_sign(&mut self, now_ms: u64) -> Option<u64> {
+    pub fn tick(&mut self, now_ms: u64) -> Option<u64> {
         let mut pause_ms = None;
         for freshness in &mut self.each {
             pause_ms = freshness.tick(now_ms);
@@ -56,12 +56,12 @@
     }
 
     /// Notes that a belief was read as a whole from the platform.
-    pub fn renew(&mut self, belief: Belief, now_ms: u64) {
+    pub fn mark_refreshed(&mut self, belief: PlatformData, now_ms: u64) {
         self.each[belief as usize].confirm(now_ms, 0);
     }
 
     /// Tells whether requests have to wait for fresh beliefs.
-    pub fn has_to_wait(&mut self, now_ms: u64) -> bool {
+    pub fn must_hold_requests(&mut self, now_ms: u64) -> bool {
         self.each.iter_mut().any(|it| !it.is_trusted(now_ms))
     }
 }
--- a/crates/core/src/upstreams/directory.rs
+++ b/crates/core/src/upstreams/directory.rs
@@ -43,7 +43,7 @@
     /// All upstreams that are listed.
     Snapshot(Vec<UpstreamRecord>),
     /// All upstreams that another entry knows.
-    Heard(Vec<UpstreamRecord>),
+    FromPeer(Vec<UpstreamRecord>),
     /// An upstream was listed or its record changed.
     Listed(UpstreamRecord),
     /// An upstream is no longer listed.
@@ -52,7 +52,7 @@
         id: String,
     },
     /// The platform is available again after an outage.
-    PlatformReturned,
+    PlatformRecovered,
 }
 
 /// Upstreams of all services.
@@ -183,10 +183,10 @@
                 self.has_platform_list = true;
                 self.replace_all(records, now_ms);
             }
-            ListUpdate::Heard(records) => self.replace_all(records, now_ms),
+            ListUpdate::FromPeer(records) => self.replace_all(records, now_ms),
             ListUpdate::Listed(record) => self.list(record, now_ms, self.has_list),
             ListUpdate::Unlisted { id } => self.unlist(&id, now_ms),
-            ListUpdate::PlatformReturned => {
+            ListUpdate::PlatformRecovered => {
                 self.lapse_grace_until_ms = now_ms + self.settings.lapse_grace_ms;
             }
         }
--- a/crates/core/src/upstreams/mod.rs
+++ b/crates/core/src/upstreams/mod.rs
@@ -5,17 +5,17 @@
 //! others preferred. Several entries share the limits of an upstream without talking about each
 //! request: every entry keeps to its part of them.
 
-mod beliefs;
+mod platform_lists;
 mod choose;
 mod cold;
 mod directory;
 mod record;
 
-pub use beliefs::{Beliefs, ListRevisions};
 pub use choose::{Affinity, Wanted};
 pub use cold::{ColdLimit, ColdShare};
 pub(crate) use directory::rendezvous_weight;
 pub use directory::{ListUpdate, Upstreams, UpstreamsSettings};
+pub use platform_lists::{ListRevisions, PlatformLists};
 pub use record::{CallEnd, Load, Upstream, UpstreamKey, UpstreamRecord};
 
 #[cfg(test)]
--- a/crates/core/src/upstreams/beliefs.rs
+++ b/crates/core/src/upstreams/platform_lists.rs
@@ -25,7 +25,7 @@
 
 /// What an entry knows from the platform.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Beliefs {
+pub struct PlatformLists {
     /// Revisions of the lists.
     pub revisions: ListRevisions,
     /// Upstreams, with the time for which each still counts as cold.
@@ -38,7 +38,7 @@
 
 impl Upstreams {
     /// Returns what this entry knows; none before the platform has told of upstreams and entries.
-    pub fn beliefs(&self, now_ms: u64) -> Option<Beliefs> {
+    pub fn platform_lists(&self, now_ms: u64) -> Option<PlatformLists> {
         if !self.has_platform_list() {
             return None;
         }
@@ -46,7 +46,7 @@
             cold_remaining_ms: it.cold_until_ms.saturating_sub(now_ms),
             ..it.record.clone()
         });
-        Some(Beliefs {
+        Some(PlatformLists {
             revisions: self.revisions(),
             upstreams: records.collect(),
             evacuated: self.evacuated().iter().cloned().collect(),
@@ -56,20 +56,20 @@
 
     /// Takes over those lists of another entry that are newer than the own ones; returns the data
     /// centres that changed, each with whether it receives no work now.
-    pub fn take_over(&mut self, beliefs: Beliefs, now_ms: u64) -> Vec<(String, bool)> {
+    pub fn adopt_newer(&mut self, lists: PlatformLists, now_ms: u64) -> Vec<(String, bool)> {
         let known = self.revisions();
-        if !beliefs.revisions.has_newer_than(known) {
+        if !lists.revisions.has_newer_than(known) {
             return Vec::new();
         }
         let mut changed = Vec::new();
-        self.set_entries(beliefs.entries);
-        if beliefs.revisions.evacuations > known.evacuations {
-            changed = self.replace_evacuated(beliefs.evacuated, now_ms);
-            self.set_evacuations_revision(beliefs.revisions.evacuations);
+        self.set_entries(lists.entries);
+        if lists.revisions.evacuations > known.evacuations {
+            changed = self.replace_evacuated(lists.evacuated, now_ms);
+            self.set_evacuations_revision(lists.revisions.evacuations);
         }
-        if beliefs.revisions.upstreams > known.upstreams {
-            self.update(ListUpdate::Heard(beliefs.upstreams), now_ms);
-            self.set_upstreams_revision(beliefs.revisions.upstreams);
+        if lists.revisions.upstreams > known.upstreams {
+            self.update(ListUpdate::FromPeer(lists.upstreams), now_ms);
+            self.set_upstreams_revision(lists.revisions.upstreams);
         }
         changed
     }
--- a/crates/core/src/upstreams/tests.rs
+++ b/crates/core/src/upstreams/tests.rs
@@ -5,7 +5,7 @@
 use crate::{
     FastMap,
     upstreams::{
-        Affinity, Beliefs, CallEnd, ListRevisions, ListUpdate, UpstreamRecord, Upstreams,
+        Affinity, CallEnd, ListRevisions, ListUpdate, PlatformLists, UpstreamRecord, Upstreams,
         UpstreamsSettings, Wanted,
     },
 };
@@ -64,14 +64,14 @@
 #[test]
 fn lists_heard_from_an_entry_count_until_newer_ones_come() {
     let mut fresh = Upstreams::new(UpstreamsSettings::default(), "entry-2");
-    assert_eq!(fresh.beliefs(0), None, "what was heard is not passed on");
-    let first = told(vec![record("a", "x"), record("b", "x")], 3).beliefs(0).unwrap();
-    fresh.take_over(first.clone(), 0);
+    assert_eq!(fresh.platform_lists(0), None, "what was heard is not passed on");
+    let first = told(vec![record("a", "x"), record("b", "x")], 3).platform_lists(0).unwrap();
+    fresh.adopt_newer(first.clone(), 0);
     assert!(fresh.has_list() && !fresh.has_platform_list());
-    assert_eq!(fresh.beliefs(0), None);
-    fresh.take_over(told(vec![record("b", "x")], 4).beliefs(0).unwrap(), 300);
+    assert_eq!(fresh.platform_lists(0), None);
+    fresh.adopt_newer(told(vec![record("b", "x")], 4).platform_lists(0).unwrap(), 300);
     assert_eq!(chosen(&fresh, 301).as_deref(), Some("b"), "what has left is forgotten");
-    fresh.take_over(first, 400);
+    fresh.adopt_newer(first, 400);
     assert_eq!(fresh.len(), 1, "an older list changes nothing");
 }
 
@@ -82,12 +82,12 @@
     teller.set_evacuations_revision(2);
     let mut fresh = Upstreams::new(UpstreamsSettings::default(), "entry-2");
     let out = [("x".to_owned(), true)];
-    assert_eq!(fresh.take_over(teller.beliefs(0).unwrap(), 0), out);
+    assert_eq!(fresh.adopt_newer(teller.platform_lists(0).unwrap(), 0), out);
     assert_eq!(chosen(&fresh, 1).as_deref(), Some("b"));
     teller.set_evacuated("x", false, 10);
     teller.set_evacuations_revision(3);
     let back = [("x".to_owned(), false)];
-    assert_eq!(fresh.take_over(teller.beliefs(10).unwrap(), 10), back);
+    assert_eq!(fresh.adopt_newer(teller.platform_lists(10).unwrap(), 10), back);
     assert!(fresh.evacuated().is_empty());
 }
 
@@ -95,10 +95,10 @@
 fn the_time_for_which_an_upstream_is_cold_is_passed_on() {
     let mut teller = told(vec![], 1);
     teller.update(ListUpdate::Listed(record("a", "x")), 1_000);
-    let beliefs = teller.beliefs(1_500).unwrap();
-    assert_eq!(beliefs.upstreams[0].cold_remaining_ms, 2_500, "it has just started");
+    let lists = teller.platform_lists(1_500).unwrap();
+    assert_eq!(lists.upstreams[0].cold_remaining_ms, 2_500, "it has just started");
     let mut fresh = Upstreams::new(UpstreamsSettings::default(), "entry-2");
-    fresh.take_over(beliefs, 50);
+    fresh.adopt_newer(lists, 50);
     let (_, upstream) = fresh.of_service("s").next().unwrap();
     assert!(upstream.is_cold(2_549) && !upstream.is_cold(2_550));
 }
@@ -135,7 +135,10 @@
 
 /// Plays steps and checks that each entry holds exactly what the platform held at its revisions, and
 /// that these never fall.
-fn play(steps: &[Step], take_over: fn(&mut Upstreams, Beliefs)) -> Result<(), TestCaseError> {
+fn play(
+    steps: &[Step],
+    adopt_newer: fn(&mut Upstreams, PlatformLists),
+) -> Result<(), TestCaseError> {
     let mut entries: Vec<Upstreams> = (0..ENTRIES)
         .map(|it| Upstreams::new(UpstreamsSettings::default(), &format!("entry-{it}")))
         .collect();
@@ -171,8 +174,8 @@
                 entry.set_evacuations_revision(revision);
             }
             Step::Tell(from, to) => {
-                if let Some(beliefs) = entries[from].beliefs(0) {
-                    take_over(&mut entries[to], beliefs);
+                if let Some(lists) = entries[from].platform_lists(0) {
+                    adopt_newer(&mut entries[to], lists);
                 }
             }
         }
@@ -190,8 +193,8 @@
 }
 
 /// Takes over as an entry does.
-fn heedful(entry: &mut Upstreams, beliefs: Beliefs) {
-    entry.take_over(beliefs, 0);
+fn heedful(entry: &mut Upstreams, lists: PlatformLists) {
+    entry.adopt_newer(lists, 0);
 }
 
 proptest! {
@@ -211,11 +214,11 @@
 
 #[test]
 fn the_play_notices_an_older_list_that_replaces_a_newer_one() {
-    let careless = |entry: &mut Upstreams, beliefs: Beliefs| {
-        entry.replace_evacuated(beliefs.evacuated, 0);
-        entry.set_evacuations_revision(beliefs.revisions.evacuations);
-        entry.update(ListUpdate::Heard(beliefs.upstreams), 0);
-        entry.set_upstreams_revision(beliefs.revisions.upstreams);
+    let careless = |entry: &mut Upstreams, lists: PlatformLists| {
+        entry.replace_evacuated(lists.evacuated, 0);
+        entry.set_evacuations_revision(lists.revisions.evacuations);
+        entry.update(ListUpdate::FromPeer(lists.upstreams), 0);
+        entry.set_upstreams_revision(lists.revisions.upstreams);
     };
     let steps = [Step::Read(0), Step::Toggle(1), Step::Read(1), Step::Tell(0, 1)];
     assert!(play(&steps, careless).is_err());
@@ -225,7 +228,7 @@
 #[test]
 fn an_upstream_that_is_missing_after_an_outage_stays_for_the_grace_time() {
     let mut upstreams = upstreams(vec![record("a", "x")]);
-    upstreams.update(ListUpdate::PlatformReturned, 10_000);
+    upstreams.update(ListUpdate::PlatformRecovered, 10_000);
     upstreams.update(ListUpdate::Snapshot(vec![]), 10_000);
     assert_eq!(chosen(&upstreams, 10_000).as_deref(), Some("a"));
     upstreams.expire(11_999);
@@ -238,7 +241,7 @@
 fn an_upstream_that_was_leaving_is_gone_at_once_after_an_outage() {
     let leaving = UpstreamRecord { is_draining: true, ..record("a", "x") };
     let mut upstreams = upstreams(vec![leaving]);
-    upstreams.update(ListUpdate::PlatformReturned, 10_000);
+    upstreams.update(ListUpdate::PlatformRecovered, 10_000);
     upstreams.update(ListUpdate::Unlisted { id: "a".to_owned() }, 10_001);
     assert!(upstreams.is_empty());
 }
--- a/crates/entry/src/relay/feed.rs
+++ b/crates/entry/src/relay/feed.rs
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 use yuccatrail_adapter::{StoreChange, configuration_form, evacuations_form, servers_form};
 use yuccatrail_core::{
-    freshness::Belief,
+    freshness::PlatformData,
     route_table::{Configuration, RouteTable},
     upstreams::{ListUpdate, UpstreamRecord},
 };
@@ -69,7 +69,7 @@
             adopt(&relay, change);
         }
         if is_whole {
-            relay.renew(Belief::Configuration);
+            relay.renew(PlatformData::Configuration);
         }
     }
     feed.close().await;
@@ -102,7 +102,7 @@
                 upstreams.set_evacuations_revision(revision);
                 drop(upstreams);
                 log_evacuations(&changed);
-                relay.renew(Belief::Evacuations);
+                relay.renew(PlatformData::Evacuations);
             }
             PollUpdate::Changes(changes) => {
                 let mut upstreams = relay.upstreams();
@@ -145,7 +145,7 @@
                 upstreams.update(ListUpdate::Snapshot(records), now_ms);
                 upstreams.set_upstreams_revision(revision);
                 drop(upstreams);
-                relay.renew(Belief::Upstreams);
+                relay.renew(PlatformData::Upstreams);
             }
             PollUpdate::Changes(changes) => {
                 for change in changes.items {
@@ -156,7 +156,7 @@
             }
             PollUpdate::Available => {
                 relay.set_follows_platform(true);
-                relay.upstreams().update(ListUpdate::PlatformReturned, now_ms);
+                relay.upstreams().update(ListUpdate::PlatformRecovered, now_ms);
             }
             PollUpdate::Unavailable(_) => relay.set_follows_platform(false),
         }
--- a/crates/entry/src/relay/peers/ask.rs
+++ b/crates/entry/src/relay/peers/ask.rs
@@ -187,7 +187,7 @@
         known_revision = upstreams.revisions().upstreams;
         "lists heard from an entry"
     );
-    let changed = upstreams.take_over(beliefs, now_ms);
+    let changed = upstreams.adopt_newer(beliefs, now_ms);
     drop(upstreams);
     log_evacuations(&changed);
     relay.stages.pump_all(relay);
--- a/crates/entry/src/relay/peers/serve.rs
+++ b/crates/entry/src/relay/peers/serve.rs
@@ -10,7 +10,7 @@
 };
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
-use yuccatrail_core::{quarantine::Strike, route_table::Configuration, upstreams::Beliefs};
+use yuccatrail_core::{quarantine::Strike, route_table::Configuration, upstreams::PlatformLists};
 use yuccatrail_rpc::{
     entries::{EntryAddress, EntryPeer, HelloReply, StageReply, StageRequest},
     transport,
@@ -59,11 +59,11 @@
         self.relay.table().map(|it| it.configuration().clone())
     }
 
-    async fn beliefs(self, _: Context) -> Option<Beliefs> {
+    async fn beliefs(self, _: Context) -> Option<PlatformLists> {
         if !self.relay.follows_platform() {
             return None;
         }
-        self.relay.upstreams().beliefs(self.relay.now_ms())
+        self.relay.upstreams().platform_lists(self.relay.now_ms())
     }
 
     async fn run_stage(self, _: Context, request: StageRequest) -> StageReply {
--- a/crates/entry/src/relay/state.rs
+++ b/crates/entry/src/relay/state.rs
@@ -14,7 +14,7 @@
 use tokio_util::sync::CancellationToken;
 use yuccatrail_core::{
     FastMap,
-    freshness::{Belief, BeliefFreshness},
+    freshness::{PlatformData, PlatformDataFreshness},
     ownership::Candidate,
     retry_share::RetryShare,
     route_table::RouteTable,
@@ -51,7 +51,7 @@
     table: Mutex<Option<Arc<RouteTable>>>,
     upstreams: Mutex<Upstreams>,
     retries: Mutex<RetryShare>,
-    freshness: Mutex<BeliefFreshness>,
+    freshness: Mutex<PlatformDataFreshness>,
     /// How far the lists can be trusted.
     list_trust: watch::Sender<ListTrust>,
     is_stopping: AtomicBool,
@@ -97,7 +97,7 @@
             table: Mutex::new(None),
             upstreams: Mutex::new(Upstreams::new(UpstreamsSettings::default(), &settings.name)),
             retries: Mutex::new(RetryShare::new(settings.bounds.retries)),
-            freshness: Mutex::new(BeliefFreshness::new(suspended_clock_ms())),
+            freshness: Mutex::new(PlatformDataFreshness::new(suspended_clock_ms())),
             list_trust: watch::Sender::new(ListTrust::default()),
             is_stopping: AtomicBool::new(false),
             gives_up_waiting: CancellationToken::new(),
@@ -163,7 +163,7 @@
     /// of the sign, in milliseconds.
     pub(crate) fn note_sign_of_life(&self) -> u64 {
         let now_ms = suspended_clock_ms();
-        let pause_ms = lock(&self.freshness).note_sign(now_ms);
+        let pause_ms = lock(&self.freshness).tick(now_ms);
         if let Some(length_ms) = pause_ms {
             warn!(length_ms = length_ms; "this process did not run, lists are read again");
             self.read_lists_again();
@@ -190,14 +190,14 @@
     }
 
     /// Notes that a belief was read as a whole from the platform.
-    pub(crate) fn renew(&self, belief: Belief) {
-        lock(&self.freshness).renew(belief, suspended_clock_ms());
+    pub(crate) fn renew(&self, belief: PlatformData) {
+        lock(&self.freshness).mark_refreshed(belief, suspended_clock_ms());
     }
 
     /// Tells whether nothing may be sent before beliefs are fresh.
     pub(crate) fn has_to_wait(&self) -> bool {
         let now_ms = self.note_sign_of_life();
-        lock(&self.freshness).has_to_wait(now_ms)
+        lock(&self.freshness).must_hold_requests(now_ms)
     }
 
     /// Waits until beliefs are fresh after a pause of this process.
--- a/crates/rpc/src/entries.rs
+++ b/crates/rpc/src/entries.rs
@@ -7,7 +7,7 @@
     batching::{GroupEnd, StageWork},
     quarantine::Strike,
     route_table::Configuration,
-    upstreams::{Beliefs, ListRevisions},
+    upstreams::{ListRevisions, PlatformLists},
 };
 
 /// An entry and where others reach it.
@@ -76,7 +76,7 @@
     /// Returns the configuration in force; none before the first.
     async fn configuration() -> Option<Arc<Configuration>>;
     /// Returns what the entry knows from the platform; none unless it follows the platform now.
-    async fn beliefs() -> Option<Beliefs>;
+    async fn beliefs() -> Option<PlatformLists>;
     /// Makes all pieces of one stage.
     async fn run_stage(request: StageRequest) -> StageReply;
     /// Releases results that nobody needs any more.
