--- a/crates/core/src/ownership/mod.rs
+++ b/crates/core/src/ownership/mod.rs
@@ -8,7 +8,7 @@
 
 use crate::upstreams::rendezvous_weight;
 
-pub use view::{EntryView, Heard, OwnState};
+pub use view::{EntryView, OwnState, PeerState};
 
 /// Part of the largest processor share from which an entry goes before the weaker ones, which would
 /// slow everybody's work down.
--- a/crates/core/src/ownership/tests.rs
+++ b/crates/core/src/ownership/tests.rs
@@ -4,12 +4,12 @@
 
 use crate::{
     FastMap, FastSet,
-    ownership::{Candidate, EntryView, Heard, OwnState, ranked},
+    ownership::{Candidate, EntryView, OwnState, PeerState, ranked},
 };
 
 const READY: OwnState = OwnState { takes_work: true, follows_platform: true };
 const REFUSED: OwnState = OwnState { takes_work: true, follows_platform: false };
-const LIVES: Heard = Heard::Lives { takes_work: true, follows_platform: true };
+const LIVES: PeerState = PeerState::Alive { takes_work: true, follows_platform: true };
 
 fn candidates(shares: &[f64]) -> Vec<Candidate> {
     let name = |index: usize| format!("entry-{index}");
@@ -36,17 +36,17 @@
 }
 
 /// Lets every view ask until nothing changes; `answers` tells what is heard of each entry.
-fn settle(views: &mut [EntryView], own: OwnState, answers: &FastMap<String, Heard>) {
+fn settle(views: &mut [EntryView], own: OwnState, answers: &FastMap<String, PeerState>) {
     for view in views {
         for _ in 0..answers.len() {
-            for name in view.to_ask(&subjects(), own) {
-                view.hear(&name, answers.get(&name).copied().unwrap_or(Heard::Lost));
+            for name in view.peers_to_poll(&subjects(), own) {
+                view.set_state(&name, answers.get(&name).copied().unwrap_or(PeerState::Lost));
             }
         }
     }
 }
 
-fn all_live(all: &[Candidate]) -> FastMap<String, Heard> {
+fn all_live(all: &[Candidate]) -> FastMap<String, PeerState> {
     all.iter().map(|it| (it.name.clone(), LIVES)).collect()
 }
 
@@ -84,7 +84,7 @@
 fn an_entry_without_others_owns_everything_itself() {
     let mut view = EntryView::new(candidates(&[0.2]).remove(0));
     assert_eq!(view.owner("work", READY), None);
-    assert!(view.to_ask(&subjects(), READY).is_empty());
+    assert!(view.peers_to_poll(&subjects(), READY).is_empty());
 }
 
 #[test]
@@ -95,7 +95,7 @@
         settle(&mut views, READY, &all_live(&all));
         let mut asked_by: FastMap<String, usize> = FastMap::default();
         for view in &mut views {
-            let asked = view.to_ask(&subjects(), READY);
+            let asked = view.peers_to_poll(&subjects(), READY);
             assert!(asked.len() <= 8, "{number} entries: {}", asked.len());
             for name in asked {
                 *asked_by.entry(name).or_default() += 1;
@@ -116,10 +116,10 @@
             if view.owner(&subject, READY).is_none() {
                 continue;
             }
-            view.hear(&order[0].name, Heard::Lost);
+            view.set_state(&order[0].name, PeerState::Lost);
             let next = view.owner(&subject, READY).map(str::to_owned);
             assert!(next.is_none_or(|it| it == order[1].name));
-            view.hear(&order[0].name, LIVES);
+            view.set_state(&order[0].name, LIVES);
         }
     }
 }
@@ -128,7 +128,7 @@
 fn entries_that_all_stop_still_agree_on_an_owner() {
     let stopping = OwnState { takes_work: false, follows_platform: true };
     let all = candidates(&[0.2; 3]);
-    let heard = Heard::Lives { takes_work: false, follows_platform: true };
+    let heard = PeerState::Alive { takes_work: false, follows_platform: true };
     let answers = all.iter().map(|it| (it.name.clone(), heard)).collect();
     let mut views = views(&all);
     settle(&mut views, stopping, &answers);
@@ -143,7 +143,7 @@
 #[test]
 fn an_entry_that_the_platform_refuses_asks_on_until_one_follows_it() {
     let all = candidates(&[0.2; 30]);
-    let refused = Heard::Lives { takes_work: true, follows_platform: false };
+    let refused = PeerState::Alive { takes_work: true, follows_platform: false };
     let mut answers = all_live(&all);
     for entry in &all[..20] {
         answers.insert(entry.name.clone(), refused);
@@ -151,7 +151,7 @@
     let mut views = views(&all);
     settle(&mut views, REFUSED, &answers);
     for view in &mut views[..20] {
-        let asked = view.to_ask(&subjects(), REFUSED);
+        let asked = view.peers_to_poll(&subjects(), REFUSED);
         assert!(asked.iter().any(|it| answers[it] == LIVES));
         assert!(asked.len() <= 18);
     }
@@ -177,7 +177,7 @@
         let mut answers = all_live(&all);
         for index in &lost {
             let name = &all[index.index(number)].name;
-            answers.insert(name.clone(), Heard::Lost);
+            answers.insert(name.clone(), PeerState::Lost);
         }
         let mut views = views(&all);
         settle(&mut views, READY, &answers);
@@ -199,7 +199,7 @@
         let mut told: FastSet<String> = FastSet::from_iter([all[*first].name.clone()]);
         for _ in 0..number {
             for it in &living {
-                let asked = views[*it].to_ask(&subjects(), READY);
+                let asked = views[*it].peers_to_poll(&subjects(), READY);
                 if asked.iter().any(|name| told.contains(name)) {
                     told.insert(all[*it].name.clone());
                 }
--- a/crates/core/src/ownership/view.rs
+++ b/crates/core/src/ownership/view.rs
@@ -27,12 +27,12 @@
 
 /// What an entry that was asked last answered.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub enum Heard {
+pub enum PeerState {
     /// Nothing yet.
     #[default]
-    Nothing,
+    Unknown,
     /// It answers.
-    Lives {
+    Alive {
         /// Whether it takes work of others.
         takes_work: bool,
         /// Whether it follows the platform now.
@@ -42,9 +42,9 @@
     Lost,
 }
 
-impl Heard {
+impl PeerState {
     fn is_life(self) -> bool {
-        matches!(self, Self::Lives { .. })
+        matches!(self, Self::Alive { .. })
     }
 }
 
@@ -60,7 +60,7 @@
 #[derive(Clone, Copy, Debug)]
 struct Listed {
     cpu_share: f64,
-    heard: Heard,
+    heard: PeerState,
 }
 
 /// All entries as one of them sees them.
@@ -85,7 +85,7 @@
         if entry.name == self.own.name {
             return;
         }
-        let listed = Listed { cpu_share: entry.cpu_share, heard: Heard::Nothing };
+        let listed = Listed { cpu_share: entry.cpu_share, heard: PeerState::Unknown };
         self.listed.insert(entry.name, listed);
         self.forget_orders();
     }
@@ -98,7 +98,7 @@
     }
 
     /// Notes what was heard of an entry; returns whether that is new.
-    pub fn hear(&mut self, name: &str, heard: Heard) -> bool {
+    pub fn set_state(&mut self, name: &str, heard: PeerState) -> bool {
         let Some(listed) = self.listed.get_mut(name) else { return false };
         std::mem::replace(&mut listed.heard, heard) != heard
     }
@@ -116,7 +116,7 @@
         let (listed, own_name) = (&self.listed, &self.own.name);
         let ranking = self.rankings.get(subject)?;
         let takes_work = |name: &&String| match listed.get(*name) {
-            Some(it) => matches!(it.heard, Heard::Lives { takes_work: true, .. }),
+            Some(it) => matches!(it.heard, PeerState::Alive { takes_work: true, .. }),
             None => own.takes_work,
         };
         let lives = |name: &&String| listed.get(*name).is_none_or(|it| it.heard.is_life());
@@ -125,7 +125,7 @@
     }
 
     /// Returns the entries to ask, with `subjects` as the pieces of shared work.
-    pub fn to_ask(&mut self, subjects: &[Arc<str>], own: OwnState) -> FastSet<String> {
+    pub fn peers_to_poll(&mut self, subjects: &[Arc<str>], own: OwnState) -> FastSet<String> {
         let mut asked = FastSet::default();
         for subject in subjects {
             self.rank(subject);
@@ -139,7 +139,7 @@
                     hopeful += usize::from(own.takes_work);
                     continue;
                 };
-                lived += usize::from(listed.heard != Heard::Lost);
+                lived += usize::from(listed.heard != PeerState::Lost);
                 hopeful += usize::from(listed.may_take_work());
                 asked.insert(name.clone());
             }
@@ -157,12 +157,14 @@
                 return;
             }
             let Some(neighbour) = listed.get(name) else { continue };
-            lived += usize::from(neighbour.heard != Heard::Lost);
+            lived += usize::from(neighbour.heard != PeerState::Lost);
             // An entry that the platform refuses needs one that it does not refuse.
             let is_of_use = match neighbour.heard {
-                Heard::Nothing => true,
-                Heard::Lives { follows_platform, .. } => follows_platform || own.follows_platform,
-                Heard::Lost => false,
+                PeerState::Unknown => true,
+                PeerState::Alive { follows_platform, .. } => {
+                    follows_platform || own.follows_platform
+                }
+                PeerState::Lost => false,
             };
             of_use += usize::from(is_of_use);
             asked.insert(name.clone());
@@ -191,7 +193,7 @@
 
 impl Listed {
     fn may_take_work(&self) -> bool {
-        matches!(self.heard, Heard::Nothing | Heard::Lives { takes_work: true, .. })
+        matches!(self.heard, PeerState::Unknown | PeerState::Alive { takes_work: true, .. })
     }
 }
 
--- a/crates/entry/src/relay/peers.rs
+++ b/crates/entry/src/relay/peers.rs
@@ -15,7 +15,7 @@
 use yuccatrail_adapter::EntryRecord;
 use yuccatrail_core::{
     FastMap,
-    ownership::{Candidate, EntryView, Heard, OwnState},
+    ownership::{Candidate, EntryView, OwnState, PeerState},
 };
 use yuccatrail_rpc::entries::{EntryAddress, EntryPeerClient, HelloReply, QueueState};
 
@@ -125,7 +125,7 @@
         let mut directory = lock(&self.directory);
         let Directory { view, known, decided_with } = &mut *directory;
         *decided_with = Some(own);
-        let asked = view.to_ask(&services, own);
+        let asked = view.peers_to_poll(&services, own);
         for (name, entry) in known.iter_mut() {
             if asked.contains(name) == entry.asking.is_some() {
                 continue;
@@ -134,7 +134,7 @@
                 // Calls in progress at the entry go on.
                 asking.cancel();
                 entry.peer = None;
-                view.hear(name, Heard::Nothing);
+                view.set_state(name, PeerState::Unknown);
                 continue;
             }
             let stop = CancellationToken::new();
@@ -190,7 +190,7 @@
         entry.peer = Some(peer.clone());
         entry.queues = reply.queues.into_iter().map(|it| (it.service.clone(), it)).collect();
         let (takes_work, follows_platform) = (reply.takes_work, reply.list_revisions.is_some());
-        let heard = Heard::Lives { takes_work, follows_platform };
+        let heard = PeerState::Alive { takes_work, follows_platform };
         if directory.hear(name, heard) {
             info!(entry = name, takes_work, follows_platform; "entry heard");
         }
@@ -207,7 +207,7 @@
             peer.lost.cancel();
         }
         entry.queues.clear();
-        directory.hear(name, Heard::Lost);
+        directory.hear(name, PeerState::Lost);
     }
 
     /// Returns the names of all entries but this one.
@@ -224,8 +224,8 @@
 
 impl Directory {
     /// Notes what was heard of an entry; returns whether that is new.
-    fn hear(&mut self, name: &str, heard: Heard) -> bool {
-        let is_new = self.view.hear(name, heard);
+    fn hear(&mut self, name: &str, heard: PeerState) -> bool {
+        let is_new = self.view.set_state(name, heard);
         if is_new {
             self.decided_with = None;
         }
