--- a/crates/core/src/event_stream/mod.rs
+++ b/crates/core/src/event_stream/mod.rs
@@ -10,7 +10,7 @@
 
 /// Whole events that may be passed on.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct WholeEvents {
+pub struct CompleteEvents {
     /// The events as they arrived.
     pub bytes: Bytes,
     /// Identifier of the last of them; none if none of them carries one.
@@ -19,23 +19,23 @@
 
 /// Gathers bytes until an event is whole.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventFramer {
     pending: BytesMut,
 }
 
-impl EventCutter {
+impl EventFramer {
     /// Creates a cutter that holds nothing.
     pub fn new() -> Self {
         Self::default()
     }
 
     /// Takes in bytes and returns the events that are whole now.
-    pub fn push(&mut self, bytes: &[u8]) -> Option<WholeEvents> {
+    pub fn push(&mut self, bytes: &[u8]) -> Option<CompleteEvents> {
         self.pending.extend_from_slice(bytes);
         let end = end_of_last_event(&self.pending)?;
         let bytes = self.pending.split_to(end).freeze();
         let last_id = last_id(&bytes);
-        Some(WholeEvents { bytes, last_id })
+        Some(CompleteEvents { bytes, last_id })
     }
 
     /// Tells whether the stream has ended between two events.
--- a/crates/core/src/event_stream/tests.rs
+++ b/crates/core/src/event_stream/tests.rs
@@ -1,13 +1,13 @@
 use proptest::{prelude::*, test_runner::RngSeed};
 
-use crate::event_stream::EventCutter;
+use crate::event_stream::EventFramer;
 
 const STREAM: &[u8] =
     b"id: 1\ndata: a\n\nid:2\ndata: b\ndata: c\n\nx-version:3\nid: 3\ndata: d\n\n";
 
 #[test]
 fn part_of_an_event_is_held_back() {
-    let mut cutter = EventCutter::new();
+    let mut cutter = EventFramer::new();
     assert_eq!(cutter.push(b"id: 1\nda"), None);
     assert!(!cutter.is_empty());
     let events = cutter.push(b"ta: a\n\nid: 2\n").unwrap();
@@ -18,7 +18,7 @@
 
 #[test]
 fn lines_may_end_with_carriage_returns() {
-    let mut cutter = EventCutter::new();
+    let mut cutter = EventFramer::new();
     let events = cutter.push(b"id: 4\r\ndata: a\r\n\r\nid: 5\r\n").unwrap();
     assert_eq!(events.bytes, b"id: 4\r\ndata: a\r\n\r\n".as_slice());
     assert_eq!(events.last_id, Some(4));
@@ -37,7 +37,7 @@
         let mut cuts = cuts;
         cuts.extend([0, STREAM.len()]);
         cuts.sort_unstable();
-        let mut cutter = EventCutter::new();
+        let mut cutter = EventFramer::new();
         let mut passed = Vec::new();
         let mut last_id = None;
         for pair in cuts.windows(2) {
--- a/crates/entry/src/relay/stream.rs
+++ b/crates/entry/src/relay/stream.rs
@@ -16,7 +16,7 @@
 use log::{info, warn};
 use yuccatrail_adapter::{UpstreamAnswer, passed_on};
 use yuccatrail_core::{
-    event_stream::{EventCutter, EventId},
+    event_stream::{EventFramer, EventId},
     stage_graph::ResultHandle,
     upstreams::{Affinity, UpstreamKey},
 };
@@ -66,7 +66,7 @@
     call: ModelCall,
     source: Option<Source>,
     first: Option<Bytes>,
-    cutter: EventCutter,
+    cutter: EventFramer,
     last_id: Option<EventId>,
     tried: Vec<UpstreamKey>,
     runs: u32,
@@ -105,7 +105,7 @@
         call,
         source: None,
         first: None,
-        cutter: EventCutter::new(),
+        cutter: EventFramer::new(),
         last_id,
         tried: Vec::new(),
         runs: 0,
@@ -300,7 +300,7 @@
         if !request.admission.route.is_resumable {
             return Err(self.break_off("upstream_lost"));
         }
-        self.cutter = EventCutter::new();
+        self.cutter = EventFramer::new();
         if Mechanism::ResumePosition.is_off() {
             self.last_id = None;
         }
