--- a/crates/core/src/upstreams/choose.rs
+++ b/crates/core/src/upstreams/choose.rs
@@ -34,7 +34,7 @@
 
 /// What a call needs of its upstream.
 #[derive(Clone, Debug, Default)]
-pub struct Wanted<'a> {
+pub struct SelectionCriteria<'a> {
     /// Service of the upstream.
     pub service: &'a str,
     /// Model that has to be loaded.
@@ -49,21 +49,21 @@
 
 impl Upstreams {
     /// Chooses an upstream, or `None` when none may be called now.
-    pub fn choose(&self, wanted: &Wanted<'_>, now_ms: u64) -> Option<UpstreamKey> {
-        let keys = self.by_service.get(wanted.service)?;
+    pub fn choose(&self, criteria: &SelectionCriteria<'_>, now_ms: u64) -> Option<UpstreamKey> {
+        let keys = self.by_service.get(criteria.service)?;
         let fits = |key: &UpstreamKey| {
-            !wanted.excluded.contains(key)
+            !criteria.excluded.contains(key)
                 && self.is_usable(*key, now_ms)
-                && self.all.get(*key).is_some_and(|it| it.fits(wanted))
+                && self.all.get(*key).is_some_and(|it| it.fits(criteria))
         };
         let candidates: Vec<UpstreamKey> = keys.iter().copied().filter(fits).collect();
-        if let Some(affinity) = wanted.affinity
+        if let Some(affinity) = criteria.affinity
             && let Some(key) = self.choose_by_prefix(&candidates, affinity, now_ms)
         {
             return Some(key);
         }
         let cost = |key: &UpstreamKey| {
-            self.all.get(*key).map_or(f64::MAX, |it| it.cost_ms(wanted.data_centre, now_ms))
+            self.all.get(*key).map_or(f64::MAX, |it| it.cost_ms(criteria.data_centre, now_ms))
         };
         candidates.into_iter().min_by(|a, b| cost(a).total_cmp(&cost(b)))
     }
@@ -97,8 +97,8 @@
 }
 
 impl Upstream {
-    fn fits(&self, wanted: &Wanted<'_>) -> bool {
-        let Some(model) = wanted.model else { return true };
+    fn fits(&self, criteria: &SelectionCriteria<'_>) -> bool {
+        let Some(model) = criteria.model else { return true };
         self.record.models.is_empty() || self.record.models.iter().any(|it| it == model)
     }
 
--- a/crates/core/src/upstreams/mod.rs
+++ b/crates/core/src/upstreams/mod.rs
@@ -11,7 +11,7 @@
 mod directory;
 mod record;
 
-pub use choose::{Affinity, Wanted};
+pub use choose::{Affinity, SelectionCriteria};
 pub use cold::{ColdLimit, ColdShare};
 pub(crate) use directory::rendezvous_weight;
 pub use directory::{ListUpdate, Upstreams, UpstreamsSettings};
--- a/crates/core/src/upstreams/tests.rs
+++ b/crates/core/src/upstreams/tests.rs
@@ -6,7 +6,7 @@
     FastMap,
     upstreams::{
         Affinity, CallEnd, ListRevisions, ListUpdate, PlatformLists, UpstreamRecord, Upstreams,
-        UpstreamsSettings, Wanted,
+        UpstreamsSettings, SelectionCriteria,
     },
 };
 
@@ -36,7 +36,7 @@
 }
 
 fn chosen(upstreams: &Upstreams, now_ms: u64) -> Option<String> {
-    let wanted = Wanted { service: "s", ..Wanted::default() };
+    let wanted = SelectionCriteria { service: "s", ..SelectionCriteria::default() };
     let key = upstreams.choose(&wanted, now_ms)?;
     Some(upstreams.get(key).unwrap().record.id.clone())
 }
@@ -323,7 +323,7 @@
     let mut second = Upstreams::new(UpstreamsSettings::default(), "entry-2");
     second.update(ListUpdate::Snapshot(records.into_iter().rev().collect()), 0);
     let affinity = Affinity { prefix: "p".to_owned() };
-    let wanted = Wanted { service: "s", affinity: Some(&affinity), ..Wanted::default() };
+    let wanted = SelectionCriteria { service: "s", affinity: Some(&affinity), ..SelectionCriteria::default() };
     let key = first.choose(&wanted, 0).unwrap();
     let other = second.choose(&wanted, 0).unwrap();
     assert_eq!(first.get(key).unwrap().record.id, second.get(other).unwrap().record.id);
--- a/crates/entry/src/relay/model.rs
+++ b/crates/entry/src/relay/model.rs
@@ -9,7 +9,7 @@
 use yuccatrail_core::{
     batching::{GroupEnd, Home, PieceSource, StageWork},
     stage_graph::{ReadyStage, ResultHandle, StageGraph},
-    upstreams::{Affinity, UpstreamKey, Wanted},
+    upstreams::{Affinity, UpstreamKey, SelectionCriteria},
 };
 
 use crate::relay::{
@@ -95,8 +95,8 @@
     request: &'a CallerRequest,
     affinity: Option<&'a Affinity>,
     excluded: &'a [UpstreamKey],
-) -> Wanted<'a> {
-    Wanted {
+) -> SelectionCriteria<'a> {
+    SelectionCriteria {
         service: &request.service,
         model: request.head.model.as_deref(),
         data_centre: Some(&relay.settings.data_centre),
--- a/crates/entry/src/relay/plain.rs
+++ b/crates/entry/src/relay/plain.rs
@@ -7,7 +7,7 @@
 use hyper::{Response, StatusCode};
 use log::{info, warn};
 use yuccatrail_adapter::{UpstreamAnswer, passed_on};
-use yuccatrail_core::upstreams::{UpstreamKey, Wanted};
+use yuccatrail_core::upstreams::{UpstreamKey, SelectionCriteria};
 
 use crate::relay::{
     attempt::{Attempt, AttemptError, check_signature},
@@ -122,11 +122,11 @@
     request: &CallerRequest,
     tried: &[UpstreamKey],
 ) -> Option<Attempt> {
-    let wanted = Wanted {
+    let wanted = SelectionCriteria {
         service: &request.service,
         data_centre: Some(&relay.settings.data_centre),
         excluded: tried,
-        ..Wanted::default()
+        ..SelectionCriteria::default()
     };
     let now_ms = relay.now_ms();
     let key = relay.upstreams().choose(&wanted, now_ms)?;
