--- a/crates/core/src/batching/batcher.rs
+++ b/crates/core/src/batching/batcher.rs
@@ -6,7 +6,7 @@
 
 use crate::{
     FastMap,
-    batching::{EngineView, StageWork, engine::Engine, order::Place},
+    batching::{AvailableUpstream, StageWork, order::Place, upstream_state::UpstreamState},
     route_table::StageService,
     stage_graph::ResultHandle,
     upstreams::UpstreamKey,
@@ -34,11 +34,11 @@
 
 /// A call to make now.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct CallOrder {
+pub struct PlannedCall {
     /// Name under which the result is reported.
     pub call: CallKey,
     /// Upstream to call.
-    pub engine: UpstreamKey,
+    pub upstream: UpstreamKey,
     /// Pieces in the order in which they are asked for.
     pub pieces: Vec<(GroupKey, usize)>,
     /// Time at which the call is expected to have ended, in milliseconds.
@@ -49,7 +49,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PieceResult {
     /// The result exists.
-    Made(ResultHandle),
+    Completed(ResultHandle),
     /// Its time had passed when its turn came.
     Late,
     /// An input no longer exists.
@@ -74,9 +74,11 @@
 /// How the work of a stage ended.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[display(rename_all = "snake_case")]
-pub enum GroupEnd {
+pub enum GroupOutcome {
     /// All results exist.
-    Made,
+    #[serde(rename = "Made")]
+    #[display("made")]
+    Completed,
     /// The deadline can't be met.
     Late,
     /// An input no longer exists.
@@ -92,12 +94,12 @@
     results: Vec<Option<ResultHandle>>,
     tries: u32,
     /// Its inputs no longer take up room, so that no piece can be made again.
-    pub(super) has_let_inputs_go: bool,
+    pub(super) has_released_inputs: bool,
 }
 
 #[derive(Debug)]
 pub(super) struct Call {
-    engine: UpstreamKey,
+    upstream: UpstreamKey,
     pub(super) pieces: Vec<(GroupKey, usize)>,
     started_ms: u64,
     stated_ms: f64,
@@ -119,7 +121,7 @@
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct Settled {
     /// Groups that ended, with their results in the order of the pieces.
-    pub ended: Vec<(GroupKey, GroupEnd, Vec<ResultHandle>)>,
+    pub ended: Vec<(GroupKey, GroupOutcome, Vec<ResultHandle>)>,
     /// Results that nobody needs any more.
     pub unused: Vec<ResultHandle>,
 }
@@ -130,7 +132,7 @@
     pub(super) service: StageService,
     pub(super) groups: SlotMap<GroupKey, Group>,
     pub(super) calls: SlotMap<CallKey, Call>,
-    pub(super) engines: FastMap<UpstreamKey, Engine>,
+    pub(super) upstreams: FastMap<UpstreamKey, UpstreamState>,
 }
 
 impl Batcher {
@@ -140,7 +142,7 @@
             service,
             groups: SlotMap::with_key(),
             calls: SlotMap::with_key(),
-            engines: FastMap::default(),
+            upstreams: FastMap::default(),
         }
     }
 
@@ -155,7 +157,7 @@
             waiting: (0..work.pieces).collect(),
             results: vec![None; work.pieces],
             tries: 0,
-            has_let_inputs_go: false,
+            has_released_inputs: false,
             work,
         };
         self.groups.insert(group)
@@ -179,27 +181,33 @@
 
     /// Notes that a result no longer takes up room.
     pub fn release(&mut self, handle: &str) {
-        for engine in self.engines.values_mut() {
-            if engine.release(handle) {
+        for upstream in self.upstreams.values_mut() {
+            if upstream.release(handle) {
                 return;
             }
         }
     }
 
-    /// Returns the expected time until `pieces` more pieces that are due at `aim_ms` are made, in
-    /// milliseconds, with `engines` upstreams in use.
-    pub fn estimate_ms(&self, pieces: usize, aim_ms: u64, engines: usize, now_ms: u64) -> f64 {
+    /// Returns the expected time until `pieces` more pieces that are due at `soft_deadline_ms` are made, in
+    /// milliseconds, with `upstreams` upstreams in use.
+    pub fn estimate_ms(
+        &self,
+        pieces: usize,
+        soft_deadline_ms: u64,
+        upstreams: usize,
+        now_ms: u64,
+    ) -> f64 {
         let ahead: usize = self
             .groups
             .values()
-            .filter(|it| it.work.aim_ms <= aim_ms)
+            .filter(|it| it.work.soft_deadline_ms <= soft_deadline_ms)
             .map(|it| it.waiting.len())
             .sum();
         let batch = self.service.batch.max(1);
-        let lanes = (engines.max(1) as f64) * f64::from(self.service.slots.max(1));
+        let lanes = (upstreams.max(1) as f64) * f64::from(self.service.slots.max(1));
         let full_batches_ahead = (ahead / batch) as f64;
         let busy: f64 = self
-            .engines
+            .upstreams
             .values()
             .map(|it| (it.busy_until_ms - now_ms as f64).max(0.0))
             .fold(f64::MAX, f64::min);
@@ -208,8 +216,8 @@
         first_free_ms + queue_ms + self.duration_ms(pieces.min(batch))
     }
 
-    /// Removes the groups that can't meet their deadlines with `engines` upstreams in use.
-    pub fn expire(&mut self, engines: usize, now_ms: u64) -> Settled {
+    /// Removes the groups that can't meet their deadlines with `upstreams` upstreams in use.
+    pub fn expire(&mut self, upstreams: usize, now_ms: u64) -> Settled {
         let shortest_ms = self.duration_ms(1);
         let mut settled = Settled::default();
         let is_hopeless = |it: &Group| {
@@ -218,8 +226,8 @@
         };
         let late: Vec<GroupKey> =
             self.groups.iter().filter(|(_, it)| is_hopeless(it)).map(|(key, _)| key).collect();
-        for key in late.into_iter().chain(self.unreachable(engines, now_ms)) {
-            self.end(key, GroupEnd::Late, &mut settled);
+        for key in late.into_iter().chain(self.unreachable(upstreams, now_ms)) {
+            self.end(key, GroupOutcome::Late, &mut settled);
         }
         settled
     }
@@ -232,12 +240,12 @@
         for key in due {
             let Some(call) = self.calls.get_mut(key) else { continue };
             call.is_overdue = true;
-            let (engine, pieces, started_ms, stated_ms) =
-                (call.engine, call.pieces.clone(), call.started_ms, call.stated_ms);
-            if let Some(engine) = self.engines.get_mut(&engine) {
+            let (upstream, pieces, started_ms, stated_ms) =
+                (call.upstream, call.pieces.clone(), call.started_ms, call.stated_ms);
+            if let Some(upstream) = self.upstreams.get_mut(&upstream) {
                 let took_ms = now_ms.saturating_sub(started_ms) as f64;
-                engine.note_success(took_ms * OVERDUE_FACTOR, stated_ms, now_ms);
-                engine.busy_until_ms = now_ms as f64 + took_ms;
+                upstream.note_success(took_ms * OVERDUE_FACTOR, stated_ms, now_ms);
+                upstream.busy_until_ms = now_ms as f64 + took_ms;
             }
             for (group, piece) in pieces {
                 self.requeue(group, piece);
@@ -246,7 +254,7 @@
     }
 
     /// Returns the next call to make, if an upstream is free and pieces wait.
-    pub fn next_call(&mut self, usable: &[EngineView], now_ms: u64) -> Option<CallOrder> {
+    pub fn next_call(&mut self, usable: &[AvailableUpstream], now_ms: u64) -> Option<PlannedCall> {
         let queue = self.queue(now_ms);
         if queue.is_empty() {
             return None;
@@ -256,14 +264,15 @@
         let stated_ms = self.duration_ms(queue.len().min(batch));
         let mut order: Vec<(f64, UpstreamKey)> = Vec::with_capacity(usable.len());
         for view in usable {
-            let engine = self.engines.entry(view.key).or_insert_with(Engine::new);
-            let remote = head.home.as_ref().filter(|it| it.data_centre != view.data_centre);
+            let upstream = self.upstreams.entry(view.key).or_insert_with(UpstreamState::new);
+            let remote =
+                head.preferred_data_centre.as_ref().filter(|it| it.data_centre != view.data_centre);
             let remote_megabytes = remote.map_or(0.0, |it| it.remote_bytes as f64 / 1e6);
             let distance_ms = remote_megabytes * OTHER_DATA_CENTRE_MS_PER_MB;
-            let is_busy = engine.calls >= self.service.slots.max(1);
-            let free_ms = if is_busy { engine.busy_until_ms } else { 0.0 };
-            let start_ms = free_ms.max(now_ms as f64).max(engine.paused_until_ms as f64);
-            order.push((start_ms + stated_ms * engine.pace(now_ms) + distance_ms, view.key));
+            let is_busy = upstream.calls >= self.service.slots.max(1);
+            let free_ms = if is_busy { upstream.busy_until_ms } else { 0.0 };
+            let start_ms = free_ms.max(now_ms as f64).max(upstream.paused_until_ms as f64);
+            order.push((start_ms + stated_ms * upstream.pace(now_ms) + distance_ms, view.key));
         }
         order.sort_by(|a, b| a.0.total_cmp(&b.0));
         let homes = self.homes(usable, now_ms);
@@ -273,8 +282,8 @@
             if skipped >= queue.len() {
                 return None;
             }
-            let Some(engine) = self.engines.get(&key) else { continue };
-            if engine.calls >= self.service.slots.max(1) || engine.is_paused(now_ms) {
+            let Some(upstream) = self.upstreams.get(&key) else { continue };
+            if upstream.calls >= self.service.slots.max(1) || upstream.is_paused(now_ms) {
                 skipped += batch;
                 continue;
             }
@@ -291,30 +300,30 @@
     pub fn finish(&mut self, key: CallKey, result: CallResult, now_ms: u64) -> Settled {
         let mut settled = Settled::default();
         let Some(call) = self.calls.remove(key) else { return settled };
-        let engine = self.engines.entry(call.engine).or_insert_with(Engine::new);
-        engine.calls = engine.calls.saturating_sub(1);
-        engine.reserved_bytes = engine.reserved_bytes.saturating_sub(call.reserved_bytes);
-        engine.busy_until_ms = now_ms as f64;
+        let upstream = self.upstreams.entry(call.upstream).or_insert_with(UpstreamState::new);
+        upstream.calls = upstream.calls.saturating_sub(1);
+        upstream.reserved_bytes = upstream.reserved_bytes.saturating_sub(call.reserved_bytes);
+        upstream.busy_until_ms = now_ms as f64;
         match result {
             CallResult::Answered(results) => {
                 let took_ms = now_ms.saturating_sub(call.started_ms) as f64;
-                engine.note_success(took_ms, call.stated_ms, now_ms);
+                upstream.note_success(took_ms, call.stated_ms, now_ms);
                 for ((group, piece), result) in call.pieces.into_iter().zip(results) {
-                    self.settle(call.engine, group, piece, result, now_ms, &mut settled);
+                    self.settle(call.upstream, group, piece, result, now_ms, &mut settled);
                 }
             }
             CallResult::Full => {
-                engine.pause(now_ms + FULL_PAUSE_MS);
+                upstream.pause(now_ms + FULL_PAUSE_MS);
                 for (group, piece) in call.pieces {
-                    if self.groups.get(group).is_some_and(|it| it.has_let_inputs_go) {
-                        self.end(group, GroupEnd::InputGone, &mut settled);
+                    if self.groups.get(group).is_some_and(|it| it.has_released_inputs) {
+                        self.end(group, GroupOutcome::InputGone, &mut settled);
                         continue;
                     }
                     self.requeue(group, piece);
                 }
             }
             CallResult::Failed => {
-                engine.note_failure(now_ms);
+                upstream.note_failure(now_ms);
                 for (group, piece) in call.pieces {
                     self.retry(group, piece, &mut settled);
                 }
@@ -324,8 +333,8 @@
     }
 
     /// Forgets upstreams that no longer exist; results that they held are gone with them.
-    pub fn keep_engines(&mut self, exists: impl Fn(UpstreamKey) -> bool) {
-        self.engines.retain(|key, _| exists(*key));
+    pub fn retain_upstreams(&mut self, exists: impl Fn(UpstreamKey) -> bool) {
+        self.upstreams.retain(|key, _| exists(*key));
     }
 
     /// Returns the stated time of a call, in milliseconds.
@@ -335,7 +344,7 @@
 
     /// Returns the time of a piece where all upstreams are busy, in milliseconds: half of a full call
     /// until one comes free, and a full call.
-    pub fn loaded_ms(&self) -> f64 {
+    pub fn duration_under_load_ms(&self) -> f64 {
         self.duration_ms(self.service.batch.max(1)) * LOADED_FACTOR
     }
 
@@ -364,10 +373,10 @@
 
     fn start(
         &mut self,
-        engine: UpstreamKey,
+        upstream: UpstreamKey,
         pieces: Vec<(GroupKey, usize)>,
         now_ms: u64,
-    ) -> CallOrder {
+    ) -> PlannedCall {
         let stated_ms = self.duration_ms(pieces.len());
         let mut reserved_bytes = 0;
         for (group, piece) in &pieces {
@@ -375,14 +384,14 @@
             group.waiting.retain(|it| it != piece);
             reserved_bytes += group.work.result_bytes;
         }
-        let state = self.engines.entry(engine).or_insert_with(Engine::new);
+        let state = self.upstreams.entry(upstream).or_insert_with(UpstreamState::new);
         let expected_ms = stated_ms * state.pace(now_ms);
         state.calls += 1;
         state.reserved_bytes += reserved_bytes;
         state.busy_until_ms = now_ms as f64 + expected_ms;
         let overdue_ms = now_ms + (expected_ms * OVERDUE_FACTOR + OVERDUE_SLACK_MS) as u64;
         let call = self.calls.insert(Call {
-            engine,
+            upstream,
             pieces: pieces.clone(),
             started_ms: now_ms,
             stated_ms,
@@ -392,12 +401,12 @@
             reserved_bytes,
         });
         let expected_end_ms = now_ms + expected_ms as u64;
-        CallOrder { call, engine, pieces, expected_end_ms }
+        PlannedCall { call, upstream, pieces, expected_end_ms }
     }
 
     fn settle(
         &mut self,
-        engine: UpstreamKey,
+        upstream: UpstreamKey,
         key: GroupKey,
         piece: usize,
         result: PieceResult,
@@ -405,12 +414,14 @@
         settled: &mut Settled,
     ) {
         match result {
-            PieceResult::Made(handle) => self.store(engine, key, piece, handle, now_ms, settled),
-            PieceResult::Late => self.end(key, GroupEnd::Late, settled),
-            PieceResult::InputGone => self.end(key, GroupEnd::InputGone, settled),
+            PieceResult::Completed(handle) => {
+                self.store(upstream, key, piece, handle, now_ms, settled)
+            }
+            PieceResult::Late => self.end(key, GroupOutcome::Late, settled),
+            PieceResult::InputGone => self.end(key, GroupOutcome::InputGone, settled),
             PieceResult::NoRoom => {
-                if let Some(engine) = self.engines.get_mut(&engine) {
-                    engine.pause(now_ms + FULL_PAUSE_MS);
+                if let Some(upstream) = self.upstreams.get_mut(&upstream) {
+                    upstream.pause(now_ms + FULL_PAUSE_MS);
                 }
                 self.retry(key, piece, settled);
             }
@@ -420,7 +431,7 @@
 
     fn store(
         &mut self,
-        engine: UpstreamKey,
+        upstream: UpstreamKey,
         key: GroupKey,
         piece: usize,
         handle: ResultHandle,
@@ -432,8 +443,8 @@
             settled.unused.push(handle);
             return;
         };
-        if let Some(engine) = self.engines.get_mut(&engine) {
-            engine.hold(handle.clone(), group.work.result_bytes, now_ms + ttl_ms);
+        if let Some(upstream) = self.upstreams.get_mut(&upstream) {
+            upstream.hold(handle.clone(), group.work.result_bytes, now_ms + ttl_ms);
         }
         if group.results.get(piece).is_none_or(Option::is_some) {
             settled.unused.push(handle);
@@ -443,20 +454,20 @@
         group.results[piece] = Some(handle);
         if group.results.iter().all(Option::is_some) {
             let handles = self.cancel(key);
-            settled.ended.push((key, GroupEnd::Made, handles));
+            settled.ended.push((key, GroupOutcome::Completed, handles));
         }
     }
 
     fn retry(&mut self, key: GroupKey, piece: usize, settled: &mut Settled) {
         let Some(group) = self.groups.get_mut(key) else { return };
-        if group.has_let_inputs_go {
-            self.end(key, GroupEnd::InputGone, settled);
+        if group.has_released_inputs {
+            self.end(key, GroupOutcome::InputGone, settled);
             return;
         }
         group.tries += 1;
         // Each failed call counts once for every piece of the group that it held.
         if group.tries > MAX_TRIES * group.work.pieces as u32 {
-            self.end(key, GroupEnd::Failed, settled);
+            self.end(key, GroupOutcome::Failed, settled);
             return;
         }
         self.requeue(key, piece);
@@ -465,7 +476,7 @@
     fn requeue(&mut self, key: GroupKey, piece: usize) {
         let Some(group) = self.groups.get_mut(key) else { return };
         // The call in progress is the only one that can still make it.
-        if group.has_let_inputs_go {
+        if group.has_released_inputs {
             return;
         }
         let is_made = group.results.get(piece).is_some_and(Option::is_some);
@@ -474,7 +485,7 @@
         }
     }
 
-    fn end(&mut self, key: GroupKey, end: GroupEnd, settled: &mut Settled) {
+    fn end(&mut self, key: GroupKey, end: GroupOutcome, settled: &mut Settled) {
         if !self.groups.contains_key(key) {
             return;
         }
--- a/crates/core/src/batching/fill.rs
+++ b/crates/core/src/batching/fill.rs
@@ -8,7 +8,7 @@
 
 use crate::{
     FastMap, FastSet,
-    batching::{Batcher, EngineView, GroupKey, StageWork, batcher::Group},
+    batching::{AvailableUpstream, Batcher, GroupKey, StageWork, batcher::Group},
     upstreams::UpstreamKey,
 };
 
@@ -45,12 +45,12 @@
     }
 
     /// Returns where each upstream stands and which data centres have one that is free soon.
-    pub(super) fn homes(&self, usable: &[EngineView], now_ms: u64) -> Homes {
+    pub(super) fn homes(&self, usable: &[AvailableUpstream], now_ms: u64) -> Homes {
         let mut homes = Homes::default();
         let soon_ms = now_ms as f64 + HOME_WAIT_MS;
         for view in usable {
             homes.places.insert(view.key, view.data_centre.clone());
-            let is_free_soon = self.engines.get(&view.key).is_none_or(|it| {
+            let is_free_soon = self.upstreams.get(&view.key).is_none_or(|it| {
                 let is_busy = it.calls >= self.service.slots.max(1);
                 !it.is_paused(now_ms) && (!is_busy || it.busy_until_ms <= soon_ms)
             });
@@ -61,20 +61,21 @@
         homes
     }
 
-    /// Returns the data centre in which a piece is better made than at `engine`, if there is one.
+    /// Returns the data centre in which a piece is better made than at `upstream`, if there is one.
     fn better_home<'a>(
         &self,
         work: &'a StageWork,
-        engine: UpstreamKey,
+        upstream: UpstreamKey,
         homes: &Homes,
         now_ms: u64,
     ) -> Option<&'a str> {
-        let home = work.home.as_ref()?;
-        let is_home = homes.places.get(&engine) == Some(&home.data_centre);
+        let home = work.preferred_data_centre.as_ref()?;
+        let is_home = homes.places.get(&upstream) == Some(&home.data_centre);
         if is_home || home.remote_bytes < MIN_REMOTE_BYTES {
             return None;
         }
-        let spare_ms = work.aim_ms as f64 - now_ms as f64 - self.duration_ms(self.service.batch);
+        let spare_ms =
+            work.soft_deadline_ms as f64 - now_ms as f64 - self.duration_ms(self.service.batch);
         let can_wait = homes.places_soon(&home.data_centre) > 0 && spare_ms > HOME_SPARE_MS;
         can_wait.then_some(&*home.data_centre)
     }
@@ -83,7 +84,7 @@
     /// too many for the next calls at their homes.
     fn near_first(
         &self,
-        engine: UpstreamKey,
+        upstream: UpstreamKey,
         queue: &[(GroupKey, usize)],
         homes: &Homes,
         now_ms: u64,
@@ -93,7 +94,7 @@
         let mut waiting: FastMap<&str, usize> = FastMap::default();
         for (key, piece) in queue {
             let Some(group) = self.groups.get(*key) else { continue };
-            let Some(home) = self.better_home(&group.work, engine, homes, now_ms) else {
+            let Some(home) = self.better_home(&group.work, upstream, homes, now_ms) else {
                 near.push((*key, *piece));
                 continue;
             };
@@ -115,8 +116,8 @@
         let room_bytes = self.room_bytes();
         let mut free_bytes = 0;
         for key in homes.places.keys() {
-            let Some(engine) = self.engines.get_mut(key) else { continue };
-            free_bytes += engine.free_bytes(room_bytes, now_ms);
+            let Some(upstream) = self.upstreams.get_mut(key) else { continue };
+            free_bytes += upstream.free_bytes(room_bytes, now_ms);
         }
         let begun = self.groups.values().filter(|it| !it.is_untouched());
         let promised: u64 = begun.map(|it| it.work.result_bytes * it.waiting.len() as u64).sum();
@@ -126,7 +127,7 @@
     /// Tells whether no result exists and none is being made.
     fn is_all_room_free(&mut self, homes: &Homes, now_ms: u64) -> bool {
         let room_bytes = self.room_bytes();
-        self.engines
+        self.upstreams
             .iter_mut()
             .filter(|(key, _)| homes.places.contains_key(*key))
             .all(|(_, it)| it.free_bytes(room_bytes, now_ms) == room_bytes)
@@ -135,17 +136,17 @@
     /// Chooses the pieces of one call within the batch and the room of the upstream.
     pub(super) fn fill(
         &mut self,
-        engine: UpstreamKey,
+        upstream: UpstreamKey,
         queue: &[(GroupKey, usize)],
         homes: &Homes,
         now_ms: u64,
     ) -> Vec<(GroupKey, usize)> {
-        let queue = self.near_first(engine, queue, homes, now_ms);
+        let queue = self.near_first(upstream, queue, homes, now_ms);
         let mut unpromised_bytes = self.unpromised_bytes(homes, now_ms);
         let mut is_alone = self.is_all_room_free(homes, now_ms);
         let mut begun: FastSet<GroupKey> = FastSet::default();
         let planned_bytes = self.room_bytes();
-        let Some(state) = self.engines.get_mut(&engine) else { return Vec::new() };
+        let Some(state) = self.upstreams.get_mut(&upstream) else { return Vec::new() };
         let mut room_bytes = state.free_bytes(planned_bytes, now_ms);
         let pace = state.pace(now_ms);
         let mut pieces = Vec::new();
--- a/crates/core/src/batching/inputs.rs
+++ b/crates/core/src/batching/inputs.rs
@@ -10,7 +10,7 @@
 
 impl Batcher {
     /// Tells whether more pieces wait than one call takes, so that room is worth having soon.
-    pub fn is_pressed(&self) -> bool {
+    pub fn has_backlog(&self) -> bool {
         self.waiting() > self.service.batch
     }
 
@@ -19,7 +19,7 @@
     ///
     /// They may be released, which makes room at their makers before the call ends. If the call
     /// fails, its stages end as `InputGone`.
-    pub fn let_inputs_go(
+    pub fn release_inputs(
         &mut self,
         key: CallKey,
         is_wanted_back: impl Fn(&ResultHandle) -> bool,
@@ -40,11 +40,11 @@
             }
             let Some(group) = self.groups.get_mut(key) else { continue };
             let PieceSource::Inputs(inputs) = &group.work.source else { continue };
-            let is_open = !group.waiting.is_empty() || group.has_let_inputs_go;
+            let is_open = !group.waiting.is_empty() || group.has_released_inputs;
             if is_open || !group.work.is_only_reader || !inputs.iter().any(&is_wanted_back) {
                 continue;
             }
-            group.has_let_inputs_go = true;
+            group.has_released_inputs = true;
             handles.extend(inputs.iter().cloned());
         }
         handles
--- a/crates/core/src/batching/mod.rs
+++ b/crates/core/src/batching/mod.rs
@@ -7,17 +7,17 @@
 //! A slow upstream gets pieces only where no faster one would finish them earlier.
 
 mod batcher;
-mod engine;
+mod upstream_state;
 mod fill;
 mod inputs;
 mod order;
 mod unreachable;
 
 pub use batcher::{
-    Batcher, CallKey, CallOrder, CallResult, GroupEnd, GroupKey, PieceResult, Settled,
+    Batcher, CallKey, CallResult, GroupKey, GroupOutcome, PieceResult, PlannedCall, Settled,
 };
-pub use engine::EngineView;
-pub use order::{Home, PieceSource, StageWork};
+pub use order::{PieceSource, PreferredDataCentre, StageWork};
+pub use upstream_state::AvailableUpstream;
 
 #[cfg(test)]
 mod tests;
--- a/crates/core/src/batching/order.rs
+++ b/crates/core/src/batching/order.rs
@@ -20,7 +20,7 @@
 
 /// Data centre in which a piece is made with the fewest bytes between data centres.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Home {
+pub struct PreferredDataCentre {
     /// The data centre.
     pub data_centre: Arc<str>,
     /// Bytes that a piece moves between data centres if it is made elsewhere.
@@ -45,11 +45,13 @@
     /// Rank of the request; 0 is the most urgent.
     pub priority: u8,
     /// Time at which this stage has to be finished for the request to be on time, in milliseconds.
-    pub aim_ms: u64,
+    #[serde(rename = "aim_ms")]
+    pub soft_deadline_ms: u64,
     /// Time after which the results are of no use, in milliseconds.
     pub deadline_ms: u64,
     /// Where its pieces are best made, as far as that is known.
-    pub home: Option<Home>,
+    #[serde(rename = "home")]
+    pub preferred_data_centre: Option<PreferredDataCentre>,
 }
 
 /// Place in the queue; the smallest goes first.
@@ -61,7 +63,7 @@
     due_ms: u64,
 }
 
-impl Home {
+impl PreferredDataCentre {
     /// Chooses the data centre that most bytes of a piece are read from or will be read in.
     pub fn choose(shares: impl IntoIterator<Item = (Arc<str>, u64)>) -> Option<Self> {
         let mut bytes_by_place: FastMap<Arc<str>, u64> = FastMap::default();
@@ -76,23 +78,27 @@
 
 impl StageWork {
     /// Returns the work with its times counted from `now_ms`, for an entry with another clock.
-    pub fn without_clock(&self, now_ms: u64) -> Self {
+    pub fn with_relative_times(&self, now_ms: u64) -> Self {
         Self {
-            aim_ms: self.aim_ms.saturating_sub(now_ms),
+            soft_deadline_ms: self.soft_deadline_ms.saturating_sub(now_ms),
             deadline_ms: self.deadline_ms.saturating_sub(now_ms),
             ..self.clone()
         }
     }
 
     /// Returns work whose times count from `now_ms` with its times on the own clock.
-    pub fn on_clock(self, now_ms: u64) -> Self {
-        Self { aim_ms: now_ms + self.aim_ms, deadline_ms: now_ms + self.deadline_ms, ..self }
+    pub fn with_absolute_times(self, now_ms: u64) -> Self {
+        Self {
+            soft_deadline_ms: now_ms + self.soft_deadline_ms,
+            deadline_ms: now_ms + self.deadline_ms,
+            ..self
+        }
     }
 
     /// Returns the place of the work when a call that starts now takes `call_ms`.
     pub(crate) fn place(&self, is_untouched: bool, now_ms: u64, call_ms: f64) -> Place {
-        let is_late = now_ms as f64 + call_ms > self.aim_ms as f64;
-        let due_ms = if is_late { self.deadline_ms } else { self.aim_ms };
+        let is_late = now_ms as f64 + call_ms > self.soft_deadline_ms as f64;
+        let due_ms = if is_late { self.deadline_ms } else { self.soft_deadline_ms };
         Place {
             is_untouched,
             is_late,
--- a/crates/core/src/batching/unreachable.rs
+++ b/crates/core/src/batching/unreachable.rs
@@ -10,9 +10,9 @@
 
 impl Batcher {
     /// Returns the groups without a call that can't be made in time after all that goes before them.
-    pub(super) fn unreachable(&self, engines: usize, now_ms: u64) -> Vec<GroupKey> {
+    pub(super) fn unreachable(&self, upstreams: usize, now_ms: u64) -> Vec<GroupKey> {
         let batch = self.service.batch.max(1);
-        let pieces_at_once = batch * engines.max(1) * self.service.slots.max(1) as usize;
+        let pieces_at_once = batch * upstreams.max(1) * self.service.slots.max(1) as usize;
         let mut unreachable = Vec::new();
         if self.waiting() <= pieces_at_once {
             return unreachable;
--- a/crates/core/src/batching/engine.rs
+++ b/crates/core/src/batching/upstream_state.rs
@@ -17,7 +17,7 @@
 
 /// An upstream that may be called now.
 #[derive(Clone, Debug)]
-pub struct EngineView {
+pub struct AvailableUpstream {
     /// Key of the upstream.
     pub key: UpstreamKey,
     /// Data centre that the upstream stands in.
@@ -33,7 +33,7 @@
 
 /// State of one upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct Engine {
+pub(crate) struct UpstreamState {
     /// Calls in progress.
     pub(crate) calls: u32,
     /// Time at which the last call is expected to end, in milliseconds.
@@ -48,7 +48,7 @@
     pub(crate) paused_until_ms: u64,
 }
 
-impl Engine {
+impl UpstreamState {
     pub(crate) fn new() -> Self {
         Self {
             calls: 0,
--- a/crates/core/src/upstreams/tests.rs
+++ b/crates/core/src/upstreams/tests.rs
@@ -5,8 +5,8 @@
 use crate::{
     FastMap,
     upstreams::{
-        Affinity, CallEnd, ListRevisions, ListUpdate, PlatformLists, UpstreamRecord, Upstreams,
-        UpstreamsSettings, SelectionCriteria,
+        Affinity, CallEnd, ListRevisions, ListUpdate, PlatformLists, SelectionCriteria,
+        UpstreamRecord, Upstreams, UpstreamsSettings,
     },
 };
 
@@ -323,7 +323,11 @@
     let mut second = Upstreams::new(UpstreamsSettings::default(), "entry-2");
     second.update(ListUpdate::Snapshot(records.into_iter().rev().collect()), 0);
     let affinity = Affinity { prefix: "p".to_owned() };
-    let wanted = SelectionCriteria { service: "s", affinity: Some(&affinity), ..SelectionCriteria::default() };
+    let wanted = SelectionCriteria {
+        service: "s",
+        affinity: Some(&affinity),
+        ..SelectionCriteria::default()
+    };
     let key = first.choose(&wanted, 0).unwrap();
     let other = second.choose(&wanted, 0).unwrap();
     assert_eq!(first.get(key).unwrap().record.id, second.get(other).unwrap().record.id);
--- a/crates/core/tests/stage_load.rs
+++ b/crates/core/tests/stage_load.rs
@@ -3,8 +3,8 @@
 use slotmap::SlotMap;
 use yuccatrail_core::{
     batching::{
-        Batcher, CallKey, CallOrder, CallResult, EngineView, GroupKey, Home, PieceResult,
-        PieceSource, StageWork,
+        AvailableUpstream, Batcher, CallKey, CallResult, GroupKey, PieceResult, PieceSource,
+        PlannedCall, PreferredDataCentre, StageWork,
     },
     route_table::StageService,
     upstreams::UpstreamKey,
@@ -57,7 +57,7 @@
 struct Running {
     end_ms: u64,
     service: usize,
-    order: CallOrder,
+    order: PlannedCall,
 }
 
 struct Request {
@@ -68,7 +68,7 @@
 
 struct Load {
     batchers: [Batcher; 2],
-    engines: [Vec<EngineView>; 2],
+    upstreams: [Vec<AvailableUpstream>; 2],
     requests: Vec<Request>,
     running: Vec<Running>,
     policy: Policy,
@@ -87,10 +87,13 @@
 impl Load {
     fn new(policy: Policy) -> Self {
         let mut keys: SlotMap<UpstreamKey, ()> = SlotMap::with_key();
-        let mut engines =
-            || PLACES.map(|it| EngineView { key: keys.insert(()), data_centre: it.into() }).into();
+        let mut upstreams = || {
+            PLACES
+                .map(|it| AvailableUpstream { key: keys.insert(()), data_centre: it.into() })
+                .into()
+        };
         Self {
-            engines: [engines(), engines()],
+            upstreams: [upstreams(), upstreams()],
             batchers: SERVICES.map(Batcher::new),
             requests: Vec::new(),
             running: Vec::new(),
@@ -123,10 +126,16 @@
         self.submit(self.requests.len() - 1, 0, PieceSource::Key("key".to_owned()), None);
     }
 
-    fn submit(&mut self, index: usize, stage: usize, source: PieceSource, home: Option<Home>) {
+    fn submit(
+        &mut self,
+        index: usize,
+        stage: usize,
+        source: PieceSource,
+        home: Option<PreferredDataCentre>,
+    ) {
         let next = &self.batchers[1];
         let next_ms = match (stage, self.policy.reckons_with_load) {
-            (0, true) => next.loaded_ms(),
+            (0, true) => next.duration_under_load_ms(),
             (0, false) => next.duration_ms(PIECES[1]),
             _ => 0.0,
         };
@@ -139,15 +148,15 @@
             is_only_reader: true,
             result_bytes: RESULT_BYTES[stage],
             priority: 0,
-            aim_ms: request.arrived_ms + AIM_MS - next_ms as u64,
+            soft_deadline_ms: request.arrived_ms + AIM_MS - next_ms as u64,
             deadline_ms: request.arrived_ms + 2 * AIM_MS,
-            home,
+            preferred_data_centre: home,
         };
         request.groups[stage] = Some(self.batchers[stage].submit(work));
     }
 
     fn start_calls(&mut self, service: usize, now_ms: u64) {
-        while let Some(order) = self.batchers[service].next_call(&self.engines[service], now_ms) {
+        while let Some(order) = self.batchers[service].next_call(&self.upstreams[service], now_ms) {
             self.count_bytes(service, &order);
             let duration_ms = self.batchers[service].duration_ms(order.pieces.len());
             self.running.push(Running { end_ms: now_ms + duration_ms as u64, service, order });
@@ -155,8 +164,8 @@
     }
 
     /// Counts what the pieces of a call read; each piece reads all of its inputs.
-    fn count_bytes(&mut self, service: usize, order: &CallOrder) {
-        let place = self.place_of(service, order.engine).to_owned();
+    fn count_bytes(&mut self, service: usize, order: &PlannedCall) {
+        let place = self.place_of(service, order.upstream).to_owned();
         for (group, _) in &order.pieces {
             let Some(work) = self.batchers[service].work(*group) else { continue };
             let PieceSource::Inputs(inputs) = &work.source else { continue };
@@ -170,8 +179,9 @@
     }
 
     fn finish(&mut self, call: &Running, now_ms: u64) {
-        let place = self.place_of(call.service, call.order.engine).to_owned();
-        let made = |it: usize| PieceResult::Made(handle(&place, call.service, call.order.call, it));
+        let place = self.place_of(call.service, call.order.upstream).to_owned();
+        let made =
+            |it: usize| PieceResult::Completed(handle(&place, call.service, call.order.call, it));
         let result = CallResult::Answered((0..call.order.pieces.len()).map(made).collect());
         let batcher = &mut self.batchers[call.service];
         let settled = batcher.finish(call.order.call, result, now_ms);
@@ -183,7 +193,7 @@
                 continue;
             }
             let shares = handles.iter().map(|it| (maker_place(it).into(), RESULT_BYTES[0]));
-            let home = Home::choose(shares).filter(|_| self.policy.uses_homes);
+            let home = PreferredDataCentre::choose(shares).filter(|_| self.policy.uses_homes);
             self.requests[index].inputs = handles.clone();
             self.submit(index, 1, PieceSource::Inputs(handles), home);
         }
@@ -202,8 +212,8 @@
         }
     }
 
-    fn place_of(&self, service: usize, engine: UpstreamKey) -> &str {
-        let view = self.engines[service].iter().find(|it| it.key == engine);
+    fn place_of(&self, service: usize, upstream: UpstreamKey) -> &str {
+        let view = self.upstreams[service].iter().find(|it| it.key == upstream);
         view.map_or("", |it| &it.data_centre)
     }
 }
--- a/crates/entry/src/relay/model.rs
+++ b/crates/entry/src/relay/model.rs
@@ -7,9 +7,9 @@
 use log::info;
 use yuccatrail_adapter::maker_of;
 use yuccatrail_core::{
-    batching::{GroupEnd, Home, PieceSource, StageWork},
+    batching::{GroupOutcome, PieceSource, PreferredDataCentre, StageWork},
     stage_graph::{ReadyStage, ResultHandle, StageGraph},
-    upstreams::{Affinity, UpstreamKey, SelectionCriteria},
+    upstreams::{Affinity, SelectionCriteria, UpstreamKey},
 };
 
 use crate::relay::{
@@ -164,18 +164,20 @@
         let Some((stage, inputs, (end, handles))) = running.next().await else { return Ok(()) };
         held.hold(&handles);
         match end {
-            GroupEnd::Made => {
+            GroupOutcome::Completed => {
                 release_read(graph, held, stage, &inputs);
                 graph.finish(stage, handles);
             }
-            GroupEnd::Late => return Err(Refusal::busy("stage_late", MIN_STAGE_RETRY_MS)),
-            GroupEnd::InputGone if restarts < MAX_RESTARTS => {
+            GroupOutcome::Late => return Err(Refusal::busy("stage_late", MIN_STAGE_RETRY_MS)),
+            GroupOutcome::InputGone if restarts < MAX_RESTARTS => {
                 info!(id:% = request.id, stage = stage; "an input is gone, the stages before run again");
                 restarts += 1;
                 graph.restart_inputs(stage);
             }
-            GroupEnd::InputGone => return Err(Refusal::busy("results_gone", MIN_STAGE_RETRY_MS)),
-            GroupEnd::Failed => return Err(Refusal::busy("stage_failed", MIN_STAGE_RETRY_MS)),
+            GroupOutcome::InputGone => {
+                return Err(Refusal::busy("results_gone", MIN_STAGE_RETRY_MS));
+            }
+            GroupOutcome::Failed => return Err(Refusal::busy("stage_failed", MIN_STAGE_RETRY_MS)),
         }
     }
 }
@@ -243,9 +245,15 @@
         is_only_reader: !graph.has_other_reader(ready.stage),
         result_bytes: stages[ready.stage].result_bytes,
         priority: request.admission.priority,
-        aim_ms: request.aim_ms().saturating_sub(likely_ms),
+        soft_deadline_ms: request.aim_ms().saturating_sub(likely_ms),
         deadline_ms: request.deadline_ms.saturating_sub(least_ms),
-        home: Home::choose(bytes_by_place(relay, request, graph, ready, data_centre)),
+        preferred_data_centre: PreferredDataCentre::choose(bytes_by_place(
+            relay,
+            request,
+            graph,
+            ready,
+            data_centre,
+        )),
     }
 }
 
--- a/crates/entry/src/relay/plain.rs
+++ b/crates/entry/src/relay/plain.rs
@@ -7,7 +7,7 @@
 use hyper::{Response, StatusCode};
 use log::{info, warn};
 use yuccatrail_adapter::{UpstreamAnswer, passed_on};
-use yuccatrail_core::upstreams::{UpstreamKey, SelectionCriteria};
+use yuccatrail_core::upstreams::{SelectionCriteria, UpstreamKey};
 
 use crate::relay::{
     attempt::{Attempt, AttemptError, check_signature},
--- a/crates/entry/src/relay/stages.rs
+++ b/crates/entry/src/relay/stages.rs
@@ -14,7 +14,8 @@
 use yuccatrail_core::{
     FastMap,
     batching::{
-        Batcher, CallOrder, CallResult, EngineView, GroupEnd, GroupKey, Settled, StageWork,
+        AvailableUpstream, Batcher, CallResult, GroupKey, GroupOutcome, PlannedCall, Settled,
+        StageWork,
     },
     route_table::StageService,
     stage_graph::ResultHandle,
@@ -43,7 +44,7 @@
 const PEER_SLACK_MS: u64 = 100;
 
 /// How the work of a stage ended, with its results.
-type Ending = (GroupEnd, Vec<ResultHandle>);
+type Ending = (GroupOutcome, Vec<ResultHandle>);
 
 #[derive(Debug)]
 struct Queue {
@@ -102,7 +103,7 @@
         for _ in 0..MAX_OWNERS {
             let Owner::Other(peer) = relay.peers.owner(relay, service) else { break };
             let now_ms = relay.now_ms();
-            let sent = work.without_clock(now_ms);
+            let sent = work.with_relative_times(now_ms);
             let context = context_for(sent.deadline_ms + PEER_SLACK_MS);
             let request = StageRequest { service: service.to_string(), work: sent };
             let reply = tokio::select! {
@@ -125,7 +126,7 @@
     /// Makes the pieces that another entry asks for.
     pub(crate) async fn run_for_peer(&self, relay: &Arc<Relay>, request: StageRequest) -> Ending {
         let service: Arc<str> = request.service.into();
-        let work = request.work.on_clock(relay.now_ms());
+        let work = request.work.with_absolute_times(relay.now_ms());
         self.run_here(relay, &service, work).await
     }
 
@@ -147,14 +148,14 @@
 
     async fn run_here(&self, relay: &Arc<Relay>, service: &Arc<str>, work: StageWork) -> Ending {
         if !self.can_be_in_time(relay, service, &work) {
-            return (GroupEnd::Late, Vec::new());
+            return (GroupOutcome::Late, Vec::new());
         }
         let (sender, receiver) = oneshot::channel();
         let group = {
             let mut queues = lock(&self.queues);
             let Some(queue) = queues.get_mut(service) else {
                 warn!(service:% = service; "a stage names a service without stage limits");
-                return (GroupEnd::Failed, Vec::new());
+                return (GroupOutcome::Failed, Vec::new());
             };
             let group = queue.batcher.submit(work);
             queue.waiters.insert(group, sender);
@@ -162,14 +163,14 @@
         };
         let waiting = Waiting { relay: relay.clone(), service: service.clone(), group };
         self.pump(relay, service);
-        let ending = receiver.await.unwrap_or((GroupEnd::Failed, Vec::new()));
+        let ending = receiver.await.unwrap_or((GroupOutcome::Failed, Vec::new()));
         drop(waiting);
         ending
     }
 
     /// Tells whether the queue lets the work meet its deadline.
     fn can_be_in_time(&self, relay: &Relay, service: &str, work: &StageWork) -> bool {
-        let needed_ms = self.own_estimate_ms(relay, service, work.pieces, work.aim_ms);
+        let needed_ms = self.own_estimate_ms(relay, service, work.pieces, work.soft_deadline_ms);
         needed_ms.is_none_or(|it| relay.now_ms() as f64 + it <= work.deadline_ms as f64)
     }
 
@@ -209,7 +210,7 @@
 
     /// Returns the time that a stage takes where all upstreams are busy, in milliseconds.
     pub(crate) fn loaded_ms(&self, service: &str) -> f64 {
-        lock(&self.queues).get(service).map_or(0.0, |it| it.batcher.loaded_ms())
+        lock(&self.queues).get(service).map_or(0.0, |it| it.batcher.duration_under_load_ms())
     }
 
     /// Notes that results no longer take up room.
@@ -234,7 +235,7 @@
             let settled = queue.batcher.expire(engines, now_ms);
             queue.deliver(relay, settled);
             let upstreams = relay.upstreams();
-            queue.batcher.keep_engines(|it| upstreams.get(it).is_some());
+            queue.batcher.retain_upstreams(|it| upstreams.get(it).is_some());
         }
         self.pump_all(relay);
     }
@@ -273,7 +274,7 @@
     }
 
     fn is_pressed_here(&self, service: &str) -> bool {
-        lock(&self.queues).get(service).is_some_and(|it| it.batcher.is_pressed())
+        lock(&self.queues).get(service).is_some_and(|it| it.batcher.has_backlog())
     }
 
     /// Releases the inputs that a call has read, where their makers lack room.
@@ -292,7 +293,7 @@
             relay.upstreams().service_at(maker).is_some_and(|it| pressed.contains(it))
         };
         let handles = match lock(&self.queues).get_mut(&call.service) {
-            Some(queue) => queue.batcher.let_inputs_go(call.order.call, is_wanted_back),
+            Some(queue) => queue.batcher.release_inputs(call.order.call, is_wanted_back),
             None => return,
         };
         relay.releases.add(handles);
@@ -328,7 +329,7 @@
 /// A call that is about to be made.
 struct StageCall {
     service: Arc<str>,
-    order: CallOrder,
+    order: PlannedCall,
     body: Option<Bytes>,
     limit_ms: u64,
     /// Pieces that still wait in the queue.
@@ -336,7 +337,7 @@
 }
 
 impl StageCall {
-    fn new(batcher: &Batcher, service: &Arc<str>, order: CallOrder, now_ms: u64) -> Self {
+    fn new(batcher: &Batcher, service: &Arc<str>, order: PlannedCall, now_ms: u64) -> Self {
         let mut items = Vec::with_capacity(order.pieces.len());
         for (group, piece) in &order.pieces {
             let Some(work) = batcher.work(*group) else { continue };
@@ -393,7 +394,7 @@
     };
     info!(
         service:% = call.service,
-        upstream:? = call.order.engine,
+        upstream:? = call.order.upstream,
         pieces = call.order.pieces.len(),
         waiting = call.waiting,
         took_ms = relay.now_ms().saturating_sub(started_ms),
@@ -406,7 +407,7 @@
 
 async fn send_call(relay: &Arc<Relay>, call: &StageCall) -> CallResult {
     let Some(body) = call.body.clone() else { return CallResult::Failed };
-    let Some(mut attempt) = Attempt::begin(relay, call.order.engine) else {
+    let Some(mut attempt) = Attempt::begin(relay, call.order.upstream) else {
         return CallResult::Full;
     };
     let (status, answer, body) = match attempt.post(STAGE_PATH, body).await {
@@ -443,12 +444,13 @@
     );
 }
 
-fn usable_engines(relay: &Relay, service: &str, now_ms: u64) -> Vec<EngineView> {
+fn usable_engines(relay: &Relay, service: &str, now_ms: u64) -> Vec<AvailableUpstream> {
     let upstreams = relay.upstreams();
     let mut engines = Vec::new();
     for (key, upstream) in upstreams.of_service(service) {
         if upstreams.is_usable(key, now_ms) {
-            engines.push(EngineView { key, data_centre: upstream.record.data_centre.clone() });
+            engines
+                .push(AvailableUpstream { key, data_centre: upstream.record.data_centre.clone() });
         }
     }
     engines
--- a/crates/rpc/src/entries.rs
+++ b/crates/rpc/src/entries.rs
@@ -4,7 +4,7 @@
 
 use serde::{Deserialize, Serialize};
 use yuccatrail_core::{
-    batching::{GroupEnd, StageWork},
+    batching::{GroupOutcome, StageWork},
     quarantine::Strike,
     route_table::Configuration,
     upstreams::{ListRevisions, PlatformLists},
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StageReply {
     /// The end.
-    pub end: GroupEnd,
+    pub end: GroupOutcome,
     /// Results in the order of the pieces.
     pub handles: Vec<String>,
 }
