--- a/crates/rpc/src/entries.rs
+++ b/crates/rpc/src/entries.rs
@@ -4,10 +4,10 @@
 
 use serde::{Deserialize, Serialize};
 use yuccatrail_core::{
-    batching::{GroupEnd, StageWork},
+    batching::{GroupOutcome, StageWork},
     quarantine::Strike,
     route_table::Configuration,
-    upstreams::{Beliefs, ListRevisions},
+    upstreams::{ListRevisions, PlatformLists},
 };
 
 /// An entry and where others reach it.
@@ -60,7 +60,7 @@
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StageReply {
     /// The end.
-    pub end: GroupEnd,
+    pub end: GroupOutcome,
     /// Results in the order of the pieces.
     pub handles: Vec<String>,
 }
@@ -76,7 +76,7 @@
     /// Returns the configuration in force; none before the first.
     async fn configuration() -> Option<Arc<Configuration>>;
     /// Returns what the entry knows from the platform; none unless it follows the platform now.
-    async fn beliefs() -> Option<Beliefs>;
+    async fn beliefs() -> Option<PlatformLists>;
     /// Makes all pieces of one stage.
     async fn run_stage(request: StageRequest) -> StageReply;
     /// Releases results that nobody needs any more.
