--- a/crates/entry/src/run/stage.rs
+++ b/crates/entry/src/run/stage.rs
@@ -10,7 +10,7 @@
     ids::{AttemptId, StageIndex},
     membership::UpstreamKey,
     outcome::{Execution, Reason, Refusal},
-    routing::{RandomNumbers, RouteContext},
+    routing::{ChoiceContext, RandomNumbers},
 };
 use yuccatrail_rpc::messages::UpstreamCall;
 
@@ -165,10 +165,10 @@
         let chosen = match alone {
             true => self.entry.fleet.choose_alone(pool, self.request.fingerprint),
             false => {
-                let context = RouteContext {
+                let context = ChoiceContext {
                     prefix: self.work.prefix,
                     no_probe: self.no_probe,
-                    ..RouteContext::default()
+                    ..ChoiceContext::default()
                 };
                 let [first, second, probe] = rand::random();
                 let random = RandomNumbers { first, second, probe };
@@ -239,7 +239,7 @@
                 sent_ms,
                 expected_ms: self.estimate_ms,
                 finish_by_ms: self.request.deadline_ms,
-                other_has_room: load.upstreams > 1 && load.outstanding < load.limit,
+                other_has_room: load.upstreams > 1 && load.outstanding < load.projected_limit,
             };
             let decision = self.entry.policy.with_latency(pool, |latency| {
                 decide(now_ms, &query, latency, &mut self.entry.retry_budget())
--- a/crates/fakes/src/capacity/decisions.rs
+++ b/crates/fakes/src/capacity/decisions.rs
@@ -3,12 +3,12 @@
 use std::{hint::black_box, time::Instant};
 
 use yuccatrail_core::{
-    agent::{AgentCore, AgentSettings, CallResult, ProbeResult, SubmitOrder},
+    agent::{AgentCore, AgentSettings, CallResult, ProbeResult, Submission},
     control::{ConfigRecord, ControlState, ControlUpdate, OperationsRecord},
     drain::{FreshnessSettings, GateSettings},
     ids::{AttemptId, Digest, Incarnation, RequestId, StageIndex},
     membership::{SubsetSizes, subset},
-    routing::{LoadReport, PoolView, RandomNumbers, RouteContext, choose},
+    routing::{ChoiceContext, LoadReport, PoolView, RandomNumbers, choose},
 };
 
 use super::{changes::document_of, slope::Slope};
@@ -23,7 +23,7 @@
 /// Entries of an assignment.
 const ASSIGNING_ENTRIES: usize = 360;
 /// Bounds of an assignment, as in the entry.
-const SUBSET_SIZES: SubsetSizes = SubsetSizes { size: 8, coverage: 3 };
+const SUBSET_SIZES: SubsetSizes = SubsetSizes { upstreams_per_entry: 8, entries_per_upstream: 3 };
 /// Attempts that an agent remembers when the next ones are timed.
 const REMEMBERED: [u32; 4] = [5_000, 10_000, 20_000, 40_000];
 /// Attempts timed at each size.
@@ -48,7 +48,7 @@
         for number in 0..DECISIONS {
             let random = random_numbers(number);
             let found = view.candidates(1_000, None, &[]);
-            black_box(choose(&found, &RouteContext::default(), random)).ok();
+            black_box(choose(&found, &ChoiceContext::default(), random)).ok();
         }
         pairs.push((candidates as f64, each_us(start, DECISIONS)));
     }
@@ -157,14 +157,14 @@
     }
 }
 
-fn order(number: u32) -> SubmitOrder {
+fn order(number: u32) -> Submission {
     let attempt = AttemptId {
         request: RequestId(u128::from(number)),
         stage: StageIndex(0),
         number: 0,
         entry: Incarnation(2),
     };
-    SubmitOrder {
+    Submission {
         attempt,
         agent: AGENT,
         pool: "work-orders".to_owned(),
