--- a/crates/core/src/hedge/mod.rs
+++ b/crates/core/src/hedge/mod.rs
@@ -32,7 +32,7 @@
     /// Latest finish of the stage, in milliseconds.
     pub finish_by_ms: u64,
     /// Whether another upstream has free capacity.
-    pub other_has_room: bool,
+    pub other_has_capacity: bool,
 }
 
 /// Decision about hedging a running attempt.
@@ -92,7 +92,7 @@
     if now_ms.saturating_add(query.expected_ms) > query.finish_by_ms {
         return HedgeDecision::No(NoHedge::TooLate);
     }
-    if !query.other_has_room {
+    if !query.other_has_capacity {
         return HedgeDecision::No(NoHedge::NoRoom);
     }
     if !budget.try_retry() {
--- a/crates/core/src/hedge/tests.rs
+++ b/crates/core/src/hedge/tests.rs
@@ -6,7 +6,7 @@
     sent_ms: 0,
     expected_ms: 100,
     finish_by_ms: 1_000,
-    other_has_room: true,
+    other_has_capacity: true,
 };
 
 fn latency() -> RecentLatency {
@@ -33,7 +33,7 @@
         (HedgeQuery { idempotent: false, ..QUERY }, NoHedge::NotIdempotent),
         (HedgeQuery { hedged: true, ..QUERY }, NoHedge::AlreadyHedged),
         (HedgeQuery { finish_by_ms: 250, ..QUERY }, NoHedge::TooLate),
-        (HedgeQuery { other_has_room: false, ..QUERY }, NoHedge::NoRoom),
+        (HedgeQuery { other_has_capacity: false, ..QUERY }, NoHedge::NoRoom),
     ];
     for (query, reason) in cases {
         let mut budget = RetryBudget::new(20, 1);
--- a/crates/fakes/src/model/entry.rs
+++ b/crates/fakes/src/model/entry.rs
@@ -164,13 +164,13 @@
     ) -> HedgeDecision {
         let pool = &mut self.pools[pool];
         let candidates = pool.view.candidates(now_ms, None, &[]);
-        let mut other_has_room = false;
+        let mut other_has_capacity = false;
         for candidate in &candidates {
             let upstream = pool.upstreams.iter().find(|it| it.0 == candidate.key);
             let is_other = upstream.is_some_and(|it| !tried.contains(&it.1));
-            other_has_room |= is_other && candidate.has_capacity() && !candidate.load.cold;
+            other_has_capacity |= is_other && candidate.has_capacity() && !candidate.load.cold;
         }
-        let query = HedgeQuery { other_has_room, ..query };
+        let query = HedgeQuery { other_has_capacity, ..query };
         decide(now_ms, &query, &pool.latency, &mut pool.budget)
     }
 
--- a/crates/fakes/src/model/sim/requests.rs
+++ b/crates/fakes/src/model/sim/requests.rs
@@ -86,7 +86,7 @@
             sent_ms: attempt.sent_us / US_PER_MS,
             expected_ms: attempt.expected_ms,
             finish_by_ms: attempt.submission.deadline_ms,
-            other_has_room: false,
+            other_has_capacity: false,
         };
         let tried: Vec<usize> =
             request.attempts.iter().map(|it| self.attempts[*it].upstream).collect();
