--- a/crates/core/src/at_most_once/action.rs
+++ b/crates/core/src/at_most_once/action.rs
@@ -1,4 +1,4 @@
-//! Events and actions of a claim flow.
+//! Input events and output actions of a claim flow.
 
 use crate::{
     at_most_once::{CallResponse, ClaimName, ClaimRecord},
@@ -6,7 +6,7 @@
     sabotage::{Mechanisms, Sabotage},
 };
 
-/// What happened to a claim flow.
+/// Input of a claim flow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimEvent {
     /// The request has arrived.
@@ -16,29 +16,30 @@
         /// Version of the claim after the write.
         version: u64,
     },
-    /// A create or update did not take effect because the claim exists or has another version.
+    /// A create or update had no effect because the claim exists or has another version.
     Conflict,
-    /// A create did not take effect because the claim exists, and the platform returned it.
+    /// A create had no effect because the claim exists, and the platform returned the claim.
     Exists {
-        /// The claim.
+        /// The existing claim.
         record: ClaimRecord,
         /// Version of the claim.
         version: u64,
     },
-    /// The answer to a create or update was lost; the write may have taken effect or still may.
+    /// The response to a create or update was lost; the write may have taken effect or may still do
+    /// so.
     WriteLost,
     /// A create or update could not be sent and certainly has no effect.
     WriteUnavailable,
     /// A read returned the claim.
     Found {
-        /// The claim.
+        /// The existing claim.
         record: ClaimRecord,
         /// Version of the claim.
         version: u64,
     },
     /// A read found no claim.
     Absent,
-    /// A read was not answered.
+    /// A read got no response.
     ReadUnavailable,
     /// A dispatch ended.
     Dispatch {
@@ -47,45 +48,46 @@
         /// How it ended.
         result: DispatchResult,
     },
-    /// The time of [`ClaimFlow::next_tick_ms`](super::ClaimFlow::next_tick_ms) has come.
+    /// The time returned by [`ClaimFlow::next_tick_ms`](super::ClaimFlow::next_tick_ms) has been
+    /// reached.
     Tick,
 }
 
 /// How a dispatch ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum DispatchResult {
-    /// The agent confirmed that it did not run the call and never will, or the permission had
-    /// expired before the call was sent.
+    /// The agent confirmed that it did not run the call and never will, or the permission expired
+    /// before the call was sent.
     NotRun {
         /// Why the call was not run.
         reason: Reason,
         /// Time after which the caller may try again, in milliseconds.
         retry_after_ms: u64,
-        /// Whether to try another agent while the dispatch limit allows it.
+        /// Whether to try another agent before the dispatch limit.
         try_again: bool,
     },
-    /// The upstream answered.
+    /// The upstream returned a complete response.
     Completed(CallResponse),
     /// The upstream reported a failure.
     Failed {
         /// Why the call did not complete.
         reason: Reason,
     },
-    /// Whether the call ran will not be known; no more is heard about this dispatch.
+    /// It will never be known whether the call ran; no further result of this dispatch follows.
     Lost {
         /// Why the call did not complete.
         reason: Reason,
     },
 }
 
-/// What the entry has to do for a claim flow.
+/// Output of a claim flow, to be carried out by the entry.
 #[derive(Debug, PartialEq, Eq)]
 pub enum ClaimAction {
     /// Create the claim unless it exists.
     CreateClaim {
         /// Name of the claim.
         name: ClaimName,
-        /// The claim.
+        /// The claim to create.
         record: ClaimRecord,
     },
     /// Read the claim.
@@ -97,42 +99,43 @@
     UpdateClaim {
         /// Name of the claim.
         name: ClaimName,
-        /// The new claim.
+        /// New content of the claim.
         record: ClaimRecord,
-        /// Version that the update is conditional on.
+        /// Version on which the update is conditional.
         expected_version: u64,
     },
     /// Send the call to one agent, once the permission has been redeemed.
     Dispatch(DispatchPermission),
-    /// Answer the caller; given once for each flow.
+    /// Reply to the caller; returned once for each flow.
     Reply(ClaimReply),
 }
 
-/// Answer to the caller.
+/// Reply to the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ClaimReply {
-    /// The call ran, now or for an earlier copy.
+    /// Response of the upstream, to this copy of the call or to an earlier one.
     Response(CallResponse),
-    /// The call was not answered by an upstream.
+    /// There is no response of an upstream.
     Refused(Refusal),
-    /// The key belongs to a different call; this one was not run and will not be under this key.
+    /// The idempotency key belongs to a different call; this one was not run and never will be under
+    /// this key.
     KeyReused,
 }
 
-/// Permission to send one call to one agent before a time limit.
+/// Permission to send one call to one agent by a time limit.
 ///
-/// It cannot be copied, and redeeming consumes it.
+/// It cannot be cloned, and redeeming consumes it.
 #[derive(Debug, PartialEq, Eq)]
 pub struct DispatchPermission {
     number: u16,
     dispatch_by_ms: u64,
-    checks_expiry: bool,
+    enforces_expiry: bool,
 }
 
 impl DispatchPermission {
     pub(crate) fn new(number: u16, dispatch_by_ms: u64, mechanisms: Mechanisms) -> Self {
-        let checks_expiry = mechanisms.has(Sabotage::DispatchPermission);
-        Self { number, dispatch_by_ms, checks_expiry }
+        let enforces_expiry = mechanisms.has(Sabotage::DispatchPermission);
+        Self { number, dispatch_by_ms, enforces_expiry }
     }
 
     /// Returns the number of the dispatch, counted from one.
@@ -140,14 +143,14 @@
         self.number
     }
 
-    /// Redeems the permission straight before the call is sent.
+    /// Redeems the permission immediately before the call is sent.
     ///
     /// Returns the dispatch limit for the agent on the entry's clock, in milliseconds, or `None`
-    /// when the permission has expired; the call must then not be sent and the dispatch is reported
+    /// if the permission has expired; the call must then not be sent and the dispatch has to be reported
     /// as not run.
     #[must_use]
     pub fn redeem(self, now_ms: u64) -> Option<u64> {
-        let expired = now_ms > self.dispatch_by_ms && self.checks_expiry;
+        let expired = now_ms > self.dispatch_by_ms && self.enforces_expiry;
         (!expired).then_some(self.dispatch_by_ms)
     }
 }
--- a/crates/core/src/at_most_once/flow.rs
+++ b/crates/core/src/at_most_once/flow.rs
@@ -1,4 +1,4 @@
-//! Flow of one request through claim, dispatch and settlement at one entry.
+//! State machine of one request at one entry: claim the call, dispatch it, record the outcome.
 
 use crate::{
     at_most_once::{
@@ -10,52 +10,56 @@
     sabotage::{Mechanisms, Sabotage},
 };
 
-/// Time for which a caller waits until a lost answer of the platform is settled, in milliseconds.
-const UNSETTLED_LIMIT_MS: u64 = 1_000;
+/// Time within which a write with a lost response has to be confirmed while the caller waits, in
+/// milliseconds.
+const CONFIRM_TIMEOUT_MS: u64 = 1_000;
 
-/// A call that may not be repeated, as one entry received it. All times are on the entry's clock.
+/// A non-idempotent call as received by one entry. All times are on the entry's clock.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClaimRequest {
     /// Name of the claim, from [`claim_name`](super::claim_name).
     pub name: ClaimName,
-    /// Token drawn at random for this request alone.
+    /// Random token, unique to this request.
     pub token: ClaimToken,
-    /// The run of this entry.
+    /// Incarnation of this entry.
     pub claimant: Incarnation,
     /// Digest of the customer, target and body of the call.
     pub fingerprint: Digest,
-    /// Whether the caller states that it has sent no other copy of the call, and will send none
-    /// before this one is answered.
+    /// Whether the caller declares that it has sent no other copy of the call and will send none
+    /// before it has the reply to this one.
     pub only_copy: bool,
-    /// Latest time of dispatch, in milliseconds; no later than the deadline.
+    /// Dispatch limit, in milliseconds; no later than the deadline.
     pub dispatch_by_ms: u64,
-    /// End of the request's deadline, in milliseconds.
+    /// Deadline of the request, in milliseconds.
     pub deadline_ms: u64,
     /// Time after which a refused caller may try again, in milliseconds.
     pub retry_after_ms: u64,
 }
 
-/// Takes one request through claim, dispatch and settlement.
+/// State machine that claims a call, dispatch_count it and records its outcome in the claim.
 ///
-/// At most one platform call and one dispatch are under way at any time. The flow goes on after its
-/// reply until the claim tells what became of the call.
+/// At most one platform call and one dispatch are in progress at any time. The flow continues after
+/// its reply until the outcome of the call is recorded in the claim.
 #[derive(Debug)]
 pub struct ClaimFlow {
     pub(crate) request: ClaimRequest,
     pub(crate) phase: Phase,
     pub(crate) goal: Goal,
-    pub(crate) base: Base,
+    pub(crate) precondition: Precondition,
     pub(crate) epoch: u32,
+    /// Whether no other copy of the call is known; initially as declared by the caller.
     pub(crate) only_copy: bool,
-    pub(crate) acquire_unsettled: bool,
-    /// Latest time at which a lost answer has to be settled for a dispatch, in milliseconds.
-    pub(crate) claim_by_ms: u64,
+    /// Whether a write that acquires the claim may have taken effect or may still do so.
+    pub(crate) acquire_unconfirmed: bool,
+    /// Latest time at which an unconfirmed write has to be confirmed to allow a dispatch, in
+    /// milliseconds.
+    pub(crate) confirm_by_ms: u64,
     pub(crate) replied: bool,
-    pub(crate) dispatches: u16,
+    pub(crate) dispatch_count: u16,
     pub(crate) mechanisms: Mechanisms,
 }
 
-/// What the flow waits for.
+/// What the flow is waiting for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Phase {
     New,
@@ -66,25 +70,25 @@
     Finished,
 }
 
-/// Why a write was made.
+/// Purpose of a write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum Purpose {
     Acquire,
-    Settle,
+    RecordOutcome,
 }
 
-/// What the flow works towards.
+/// Goal of the flow.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Goal {
-    /// Hold the claim and dispatch.
+    /// Acquire the claim and dispatch the call.
     Acquire,
-    /// Leave this state in the claim.
-    Settle(ClaimState),
+    /// Record this state in the claim.
+    RecordOutcome(ClaimState),
 }
 
-/// What the next write is conditional on.
+/// Precondition of the next write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Base {
+pub(crate) enum Precondition {
     Absent,
     Version(u64),
 }
@@ -97,23 +101,23 @@
             request,
             phase: Phase::New,
             goal: Goal::Acquire,
-            base: Base::Absent,
+            precondition: Precondition::Absent,
             epoch: 1,
-            acquire_unsettled: false,
-            claim_by_ms: u64::MAX,
+            acquire_unconfirmed: false,
+            confirm_by_ms: u64::MAX,
             replied: false,
-            dispatches: 0,
+            dispatch_count: 0,
             mechanisms: Mechanisms::default(),
         }
     }
 
-    /// Creates a flow with one safety mechanism switched off.
+    /// Creates a flow with one safety mechanism disabled.
     #[cfg(feature = "sabotage")]
     pub fn with_sabotage(request: ClaimRequest, sabotage: Sabotage) -> Self {
         Self { mechanisms: Mechanisms::without(sabotage), ..Self::new(request) }
     }
 
-    /// Takes an event and returns what to do; an event that the flow does not wait for is ignored.
+    /// Handles an event and returns the resulting actions; unexpected events are ignored.
     pub fn handle(&mut self, event: ClaimEvent, now_ms: u64) -> Vec<ClaimAction> {
         match (event, self.phase) {
             (ClaimEvent::Start, Phase::New) => self.write(),
@@ -139,13 +143,13 @@
         }
     }
 
-    /// Returns the time at which the flow wants a [`ClaimEvent::Tick`], in milliseconds.
+    /// Returns the time at which the flow needs a [`ClaimEvent::Tick`], in milliseconds.
     pub fn next_tick_ms(&self) -> Option<u64> {
         let limit_ms = match self.phase {
             Phase::Finished => return None,
-            _ if self.replied => self.settle_by_ms().saturating_add(1),
+            _ if self.replied => self.record_by_ms().saturating_add(1),
             Phase::Dispatched => self.request.deadline_ms,
-            _ => self.request.dispatch_by_ms.min(self.claim_by_ms).saturating_add(1),
+            _ => self.request.dispatch_by_ms.min(self.confirm_by_ms).saturating_add(1),
         };
         match self.phase {
             Phase::Waiting { until_ms } => Some(limit_ms.min(until_ms)),
@@ -153,16 +157,16 @@
         }
     }
 
-    /// Tells whether the flow has nothing left to do.
+    /// Returns whether the flow is finished.
     pub fn is_finished(&self) -> bool {
         self.phase == Phase::Finished
     }
 
     fn on_written(&mut self, purpose: Purpose, version: u64, now_ms: u64) -> Vec<ClaimAction> {
-        self.acquire_unsettled = false;
+        self.acquire_unconfirmed = false;
         match purpose {
-            Purpose::Acquire => self.on_held(version, now_ms),
-            Purpose::Settle => self.finish(),
+            Purpose::Acquire => self.on_claim_held(version, now_ms),
+            Purpose::RecordOutcome => self.finish(),
         }
     }
 
@@ -178,17 +182,17 @@
             return self.on_written(purpose, 0, now_ms);
         }
         if purpose == Purpose::Acquire {
-            self.acquire_unsettled = true;
-            self.claim_by_ms = self.claim_by_ms.min(now_ms.saturating_add(UNSETTLED_LIMIT_MS));
+            self.acquire_unconfirmed = true;
+            self.confirm_by_ms = self.confirm_by_ms.min(now_ms.saturating_add(CONFIRM_TIMEOUT_MS));
         }
         self.read()
     }
 
     fn on_write_unavailable(&mut self, purpose: Purpose, now_ms: u64) -> Vec<ClaimAction> {
-        if purpose == Purpose::Settle || self.acquire_unsettled {
+        if purpose == Purpose::RecordOutcome || self.acquire_unconfirmed {
             return self.wait(now_ms);
         }
-        let mut actions = self.refuse_unsettled();
+        let mut actions = self.refuse_unconfirmed();
         actions.extend(self.finish());
         actions
     }
@@ -197,33 +201,34 @@
         let compares_tokens = self.mechanisms.has(Sabotage::TokenComparison);
         let is_claimed = record.state == ClaimState::Claimed;
         if record.token == self.request.token || (is_claimed && !compares_tokens) {
-            self.acquire_unsettled = false;
+            self.acquire_unconfirmed = false;
             self.epoch = record.epoch;
-            // The settled state is only ever written by this flow, so it is the wanted one.
-            return if is_claimed { self.on_held(version, now_ms) } else { self.finish() };
+            // Only this flow records an outcome under its token, so the state is the intended one.
+            return if is_claimed { self.on_claim_held(version, now_ms) } else { self.finish() };
         }
-        // Another copy exists, whatever the caller stated.
+        // Another copy exists, regardless of what the caller declared.
         self.only_copy = false;
         match &self.goal {
-            Goal::Acquire => self.on_foreign(record, version, now_ms),
-            // Rewriting the released claim keeps a late takeover by this flow from taking effect.
-            Goal::Settle(ClaimState::NotRun)
-                if self.may_land_late() && record.state == ClaimState::NotRun =>
+            Goal::Acquire => self.on_foreign_claim(record, version, now_ms),
+            // Updating the released claim changes its version, so that a delayed takeover by this flow can
+            // no longer take effect.
+            Goal::RecordOutcome(ClaimState::NotRun)
+                if self.may_still_take_effect() && record.state == ClaimState::NotRun =>
             {
-                self.write_over(record, version)
+                self.overwrite(record, version)
             }
-            Goal::Settle(_) => self.finish(),
+            Goal::RecordOutcome(_) => self.finish(),
         }
     }
 
-    /// Decides about a claim that another request holds or held.
-    fn on_foreign(&mut self, record: &ClaimRecord, version: u64, now_ms: u64) -> Vec<ClaimAction> {
+    /// Handles a claim that another request holds or has released.
+    fn on_foreign_claim(&mut self, record: &ClaimRecord, version: u64, now_ms: u64) -> Vec<ClaimAction> {
         if record.fingerprint != self.request.fingerprint {
             return self.reply_and_finish(ClaimReply::KeyReused);
         }
         match record.state.clone() {
-            ClaimState::NotRun if self.is_expired(now_ms) => self.give_up(now_ms),
-            ClaimState::NotRun => self.write_over(record, version),
+            ClaimState::NotRun if self.is_expired(now_ms) => self.abandon(now_ms),
+            ClaimState::NotRun => self.overwrite(record, version),
             ClaimState::Claimed => {
                 let execution = if self.mechanisms.has(Sabotage::ForeignClaimUnknown) {
                     Execution::Unknown
@@ -239,26 +244,26 @@
     }
 
     fn on_absent(&mut self, now_ms: u64) -> Vec<ClaimAction> {
-        let may_create = self.base == Base::Absent;
+        let may_create = self.precondition == Precondition::Absent;
         match &self.goal {
-            Goal::Acquire if self.is_expired(now_ms) => self.give_up(now_ms),
+            Goal::Acquire if self.is_expired(now_ms) => self.abandon(now_ms),
             Goal::Acquire if may_create => self.write(),
-            // A claim that was seen before is gone, and with it what became of the call.
+            // A claim that existed before is gone, and with it the outcome of the call.
             Goal::Acquire => self.refuse_and_finish(Reason::KeyClaimed, Execution::Unknown),
-            Goal::Settle(ClaimState::NotRun) if may_create && self.may_land_late() => self.write(),
-            Goal::Settle(_) => self.finish(),
+            Goal::RecordOutcome(ClaimState::NotRun) if may_create && self.may_still_take_effect() => self.write(),
+            Goal::RecordOutcome(_) => self.finish(),
         }
     }
 
-    /// Goes on once the claim is known to carry this flow's token.
-    fn on_held(&mut self, version: u64, now_ms: u64) -> Vec<ClaimAction> {
-        self.base = Base::Version(version);
-        if matches!(self.goal, Goal::Settle(_)) {
+    /// Continues once the claim is confirmed to hold this flow's token.
+    fn on_claim_held(&mut self, version: u64, now_ms: u64) -> Vec<ClaimAction> {
+        self.precondition = Precondition::Version(version);
+        if matches!(self.goal, Goal::RecordOutcome(_)) {
             return self.write();
         }
         if self.is_expired(now_ms) {
             let refusal = Refusal::not_run(Reason::DispatchExpired, self.request.retry_after_ms);
-            return self.settle(ClaimReply::Refused(refusal), ClaimState::NotRun);
+            return self.reply_and_record(ClaimReply::Refused(refusal), ClaimState::NotRun);
         }
         self.dispatch()
     }
@@ -269,8 +274,8 @@
         result: DispatchResult,
         now_ms: u64,
     ) -> Vec<ClaimAction> {
-        // A repeated report about an earlier dispatch says nothing about the present one.
-        if number != self.dispatches && self.mechanisms.has(Sabotage::DispatchNumber) {
+        // A repeated result of an earlier dispatch says nothing about the current one.
+        if number != self.dispatch_count && self.mechanisms.has(Sabotage::DispatchNumber) {
             return Vec::new();
         }
         let retry_after_ms = self.request.retry_after_ms;
@@ -284,14 +289,14 @@
             }
             DispatchResult::NotRun { reason, retry_after_ms, .. } => {
                 let refusal = Refusal::not_run(reason, retry_after_ms);
-                self.settle(ClaimReply::Refused(refusal), ClaimState::NotRun)
+                self.reply_and_record(ClaimReply::Refused(refusal), ClaimState::NotRun)
             }
             DispatchResult::Completed(answer) => {
                 let state = ClaimState::Done(answer.recorded());
-                self.settle(ClaimReply::Response(answer), state)
+                self.reply_and_record(ClaimReply::Response(answer), state)
             }
             DispatchResult::Failed { reason } => {
-                self.settle(refused(reason, Execution::Failed), ClaimState::Failed { reason })
+                self.reply_and_record(refused(reason, Execution::Failed), ClaimState::Failed { reason })
             }
             DispatchResult::Lost { reason } => {
                 let state = if self.mechanisms.has(Sabotage::ReleaseOnlyConfirmed) {
@@ -299,13 +304,13 @@
                 } else {
                     ClaimState::NotRun
                 };
-                self.settle(refused(reason, Execution::Unknown), state)
+                self.reply_and_record(refused(reason, Execution::Unknown), state)
             }
         }
     }
 
     fn on_tick(&mut self, now_ms: u64) -> Vec<ClaimAction> {
-        if self.replied && now_ms > self.settle_by_ms() {
+        if self.replied && now_ms > self.record_by_ms() {
             return self.finish();
         }
         match self.phase {
@@ -315,7 +320,7 @@
             }
             Phase::Dispatched => Vec::new(),
             Phase::New if self.is_expired(now_ms) => {
-                let mut actions = self.refuse_unsettled();
+                let mut actions = self.refuse_unconfirmed();
                 actions.extend(self.finish());
                 actions
             }
--- a/crates/core/src/at_most_once/hex.rs
+++ b/crates/core/src/at_most_once/hex.rs
@@ -1,4 +1,4 @@
-//! Hexadecimal text for numbers and digests in JSON, where large numbers lose precision.
+//! Hexadecimal encoding of numbers and digests in JSON, where large numbers lose precision.
 
 use std::fmt::Write;
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Writes bytes as hexadecimal digits.
+/// Encodes bytes as hexadecimal digits.
 pub(crate) fn encode(bytes: &[u8]) -> String {
     let mut text = String::with_capacity(bytes.len() * 2);
     for byte in bytes {
@@ -72,7 +72,7 @@
     text
 }
 
-/// Reads hexadecimal digits; returns `None` when the text is not hexadecimal.
+/// Decodes hexadecimal digits; returns `None` if the text is not valid.
 pub(crate) fn decode(text: &str) -> Option<Vec<u8>> {
     let digits = text.as_bytes();
     if !digits.len().is_multiple_of(2) {
--- a/crates/core/src/at_most_once/record.rs
+++ b/crates/core/src/at_most_once/record.rs
@@ -1,4 +1,4 @@
-//! The claim of a call, as the platform keeps it in JSON.
+//! Claim of a call, as stored in the platform in JSON.
 
 use bytes::Bytes;
 use derive_more::{Display, From, Into};
@@ -10,30 +10,30 @@
     outcome::Reason,
 };
 
-/// Largest body kept in a claim, in bytes; escaped in JSON it stays below a megabyte.
+/// Largest response body stored in a claim, in bytes; escaped in JSON it stays below a megabyte.
 pub(crate) const MAX_RECORDED_BODY_BYTES: usize = 128 * 1024;
 
 /// Name of the platform object that holds a claim.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, Into, Serialize, Deserialize)]
 pub struct ClaimName(String);
 
-/// Random value that one request draws to recognise its own claim.
+/// Random value by which a request recognises its own claim.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash, From, Into, Serialize, Deserialize)]
 #[display("{_0:032x}")]
 pub struct ClaimToken(#[serde(with = "hex::number")] pub u128);
 
-/// Claim of a call that may not be repeated.
+/// Claim of a non-idempotent call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ClaimRecord {
     /// Token of the request that holds the claim.
     pub token: ClaimToken,
-    /// The run of the entry that holds the claim.
+    /// Incarnation of the entry that holds the claim.
     #[serde(with = "hex::incarnation")]
     pub claimant: Incarnation,
-    /// Digest of the customer, target and body of the call; it never changes.
+    /// Digest of the customer, target and body of the call; never changes.
     #[serde(with = "hex::digest")]
     pub fingerprint: Digest,
-    /// Number of the holder, counted from one; it rises whenever the claim changes hands.
+    /// Number of the holder, counted from one; increases whenever the claim changes hands.
     pub epoch: u32,
     /// State of the call.
     pub state: ClaimState,
@@ -47,38 +47,38 @@
     Claimed,
     /// The holder has not run the call and never will; the claim may be taken over.
     NotRun,
-    /// The call ran and was answered.
+    /// The call ran and the upstream returned this response.
     Done(CallResponse),
     /// The call reached an upstream, which reported a failure.
     Failed {
         /// Why the call did not complete.
         reason: Reason,
     },
-    /// Whether the call ran will not be known.
+    /// It will never be known whether the call ran.
     Unknown {
         /// Why the call did not complete.
         reason: Reason,
     },
 }
 
-/// Answer of an upstream to a call.
+/// Response of an upstream to a call.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct CallResponse {
     /// HTTP status.
     pub status: u16,
     /// Content type of the body.
     pub content_type: Option<String>,
-    /// Body of the answer.
+    /// Body of the response.
     pub body: RecordedBody,
 }
 
-/// Body of a recorded answer.
+/// Body of a recorded response.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(into = "BodyText", try_from = "BodyText")]
 pub enum RecordedBody {
-    /// The whole body.
+    /// The complete body.
     Whole(Bytes),
-    /// The body was too large for the claim.
+    /// The body was too large to be stored in the claim.
     Omitted {
         /// Digest of the body.
         digest: Digest,
@@ -87,7 +87,7 @@
     },
 }
 
-/// JSON form of an [`RecordedBody`].
+/// JSON representation of an [`RecordedBody`].
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum BodyText {
@@ -100,11 +100,11 @@
     },
 }
 
-/// Names the claim of a call; equal for all copies of the call at every entry.
+/// Derives the name of a call's claim, which is equal for all copies of the call at every entry.
 pub fn claim_name(customer: &str, service: &str, idempotency_key: &str) -> ClaimName {
     let mut input = Vec::new();
     for part in [customer, service, idempotency_key] {
-        // The length keeps different parts from joining into equal input.
+        // The length prefix keeps different parts from concatenating to equal input.
         input.extend_from_slice(&(part.len() as u64).to_be_bytes());
         input.extend_from_slice(part.as_bytes());
     }
@@ -112,7 +112,7 @@
 }
 
 impl CallResponse {
-    /// Returns the answer as it is recorded, without a body that is too large for the claim.
+    /// Returns the response as it is recorded; a body too large for the claim is omitted.
     pub(crate) fn recorded(&self) -> Self {
         let body = match &self.body {
             RecordedBody::Whole(body) if body.len() > MAX_RECORDED_BODY_BYTES => {
--- a/crates/core/src/at_most_once/steps.rs
+++ b/crates/core/src/at_most_once/steps.rs
@@ -1,67 +1,69 @@
-//! Steps of a claim flow: what it writes, reads, dispatches and replies.
+//! Steps of a claim flow: writes, reads, dispatch_count and replies.
 
 use crate::{
     at_most_once::{
         ClaimAction, ClaimFlow, ClaimRecord, ClaimReply, ClaimState, DispatchPermission,
-        flow::{Base, Goal, Phase, Purpose},
+        flow::{Precondition, Goal, Phase, Purpose},
     },
     outcome::{Execution, Reason, Refusal},
     sabotage::Sabotage,
 };
 
-/// Delay before a claim is read again while the caller waits, in milliseconds.
+/// Delay between reads of a claim while the caller waits, in milliseconds.
 const ACQUIRE_RETRY_MS: u64 = 20;
 
-/// Delay before a claim is read again once the caller has its reply, in milliseconds.
-const SETTLE_RETRY_MS: u64 = 500;
+/// Delay between reads of a claim after the reply, in milliseconds.
+const RECORD_RETRY_MS: u64 = 500;
 
-/// Time after the deadline for which the flow tries to settle its claim, in milliseconds.
-const SETTLE_WINDOW_MS: u64 = 60_000;
+/// Time after the deadline for which the flow tries to record the outcome, in milliseconds.
+const RECORD_WINDOW_MS: u64 = 60_000;
 
 impl ClaimFlow {
-    /// Replies that the claim could not be settled in time, and from then on only releases it.
+    /// After the dispatch limit or the limit for confirmation, refuses the request and from then on
+    /// only releases the claim.
     pub(crate) fn abandon_if_expired(&mut self, now_ms: u64) -> Vec<ClaimAction> {
-        let is_expired = self.is_expired(now_ms) || now_ms > self.claim_by_ms;
+        let is_expired = self.is_expired(now_ms) || now_ms > self.confirm_by_ms;
         if self.goal != Goal::Acquire || !is_expired {
             return Vec::new();
         }
-        self.goal = Goal::Settle(ClaimState::NotRun);
-        self.refuse_unsettled()
+        self.goal = Goal::RecordOutcome(ClaimState::NotRun);
+        self.refuse_unconfirmed()
     }
 
-    /// Gives up after an answer of the platform; nothing is under way but perhaps a lost write.
-    pub(crate) fn give_up(&mut self, now_ms: u64) -> Vec<ClaimAction> {
+    /// Abandons the claim after a response of the platform, when no call is in progress except possibly
+    /// a write whose response was lost.
+    pub(crate) fn abandon(&mut self, now_ms: u64) -> Vec<ClaimAction> {
         let mut actions = self.abandon_if_expired(now_ms);
-        let next = if self.acquire_unsettled { self.read() } else { self.finish() };
+        let next = if self.acquire_unconfirmed { self.read() } else { self.finish() };
         actions.extend(next);
         actions
     }
 
     pub(crate) fn wait(&mut self, now_ms: u64) -> Vec<ClaimAction> {
         let actions = self.abandon_if_expired(now_ms);
-        let delay_ms = if self.replied { SETTLE_RETRY_MS } else { ACQUIRE_RETRY_MS };
+        let delay_ms = if self.replied { RECORD_RETRY_MS } else { ACQUIRE_RETRY_MS };
         self.phase = Phase::Waiting { until_ms: now_ms.saturating_add(delay_ms) };
         actions
     }
 
     pub(crate) fn dispatch(&mut self) -> Vec<ClaimAction> {
-        self.dispatches += 1;
+        self.dispatch_count += 1;
         self.phase = Phase::Dispatched;
         let limit_ms = self.request.dispatch_by_ms;
-        let permission = DispatchPermission::new(self.dispatches, limit_ms, self.mechanisms);
+        let permission = DispatchPermission::new(self.dispatch_count, limit_ms, self.mechanisms);
         vec![ClaimAction::Dispatch(permission)]
     }
 
-    pub(crate) fn settle(&mut self, reply: ClaimReply, state: ClaimState) -> Vec<ClaimAction> {
-        self.goal = Goal::Settle(state);
+    pub(crate) fn reply_and_record(&mut self, reply: ClaimReply, state: ClaimState) -> Vec<ClaimAction> {
+        self.goal = Goal::RecordOutcome(state);
         let mut actions = self.reply(reply);
         actions.extend(self.write());
         actions
     }
 
-    /// Writes over a released claim of another request.
-    pub(crate) fn write_over(&mut self, record: &ClaimRecord, version: u64) -> Vec<ClaimAction> {
-        self.base = Base::Version(version);
+    /// Overwrites a released claim of another request, in a new epoch.
+    pub(crate) fn overwrite(&mut self, record: &ClaimRecord, version: u64) -> Vec<ClaimAction> {
+        self.precondition = Precondition::Version(version);
         self.epoch = record.epoch + 1;
         self.write()
     }
@@ -69,7 +71,7 @@
     pub(crate) fn write(&mut self) -> Vec<ClaimAction> {
         let (purpose, state) = match &self.goal {
             Goal::Acquire => (Purpose::Acquire, ClaimState::Claimed),
-            Goal::Settle(state) => (Purpose::Settle, state.clone()),
+            Goal::RecordOutcome(state) => (Purpose::RecordOutcome, state.clone()),
         };
         self.phase = Phase::Writing(purpose);
         let name = self.request.name.clone();
@@ -80,9 +82,9 @@
             epoch: self.epoch,
             state,
         };
-        vec![match self.base {
-            Base::Absent => ClaimAction::CreateClaim { name, record },
-            Base::Version(expected_version) => {
+        vec![match self.precondition {
+            Precondition::Absent => ClaimAction::CreateClaim { name, record },
+            Precondition::Version(expected_version) => {
                 ClaimAction::UpdateClaim { name, record, expected_version }
             }
         }]
@@ -93,8 +95,8 @@
         vec![ClaimAction::ReadClaim { name: self.request.name.clone() }]
     }
 
-    /// Refuses without knowing whether another copy of the call ran.
-    pub(crate) fn refuse_unsettled(&mut self) -> Vec<ClaimAction> {
+    /// Refuses a request whose claim is unconfirmed, so that another copy of the call may have run.
+    pub(crate) fn refuse_unconfirmed(&mut self) -> Vec<ClaimAction> {
         let is_certain = self.only_copy || !self.mechanisms.has(Sabotage::UnsettledClaimUnknown);
         let execution = if is_certain { Execution::NotRun } else { Execution::Unknown };
         self.refuse(Reason::PlatformUnavailable, execution)
@@ -134,17 +136,18 @@
         Vec::new()
     }
 
-    /// Tells whether a lost write of this flow may still make it the holder.
-    pub(crate) fn may_land_late(&self) -> bool {
-        self.acquire_unsettled && self.mechanisms.has(Sabotage::ReleaseUnsettled)
+    /// Returns whether a write with a lost response may still make this flow the holder.
+    pub(crate) fn may_still_take_effect(&self) -> bool {
+        self.acquire_unconfirmed && self.mechanisms.has(Sabotage::ReleaseUnsettled)
     }
 
-    /// Tells whether the dispatch limit has passed.
+    /// Returns whether the dispatch limit has passed.
     pub(crate) fn is_expired(&self, now_ms: u64) -> bool {
         now_ms > self.request.dispatch_by_ms && self.mechanisms.has(Sabotage::DispatchPermission)
     }
 
-    pub(crate) fn settle_by_ms(&self) -> u64 {
-        self.request.deadline_ms.saturating_add(SETTLE_WINDOW_MS)
+    /// Returns the time at which the flow stops trying to record the outcome, in milliseconds.
+    pub(crate) fn record_by_ms(&self) -> u64 {
+        self.request.deadline_ms.saturating_add(RECORD_WINDOW_MS)
     }
 }
--- a/crates/core/src/at_most_once/tests.rs
+++ b/crates/core/src/at_most_once/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the at-most-once slice.
+//! Unit tests of the at-most-once module.
 
 use bytes::Bytes;
 
@@ -35,7 +35,7 @@
     }
 }
 
-fn answer(body: &'static [u8]) -> CallResponse {
+fn response(body: &'static [u8]) -> CallResponse {
     CallResponse {
         status: 200,
         content_type: None,
@@ -81,15 +81,15 @@
 }
 
 #[test]
-fn a_claimed_call_is_dispatched_and_its_answer_recorded() {
+fn claimed_call_is_dispatched_and_its_response_recorded() {
     let mut flow = started(request(1));
     let permission = permission(flow.handle(ClaimEvent::Written { version: 1 }, 1));
     assert_eq!(permission.redeem(DISPATCH_BY_MS), Some(DISPATCH_BY_MS));
-    let result = DispatchResult::Completed(answer(b"ok"));
-    let done = record(1, ClaimState::Done(answer(b"ok")));
+    let result = DispatchResult::Completed(response(b"ok"));
+    let done = record(1, ClaimState::Done(response(b"ok")));
     assert_eq!(
         flow.handle(ClaimEvent::Dispatch { number: 1, result }, 5),
-        vec![ClaimAction::Reply(ClaimReply::Response(answer(b"ok"))), update(done, 1)],
+        vec![ClaimAction::Reply(ClaimReply::Response(response(b"ok"))), update(done, 1)],
     );
     flow.handle(ClaimEvent::Written { version: 2 }, 6);
     assert!(flow.is_finished());
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_lost_answer_is_settled_by_the_token() {
+fn write_with_a_lost_response_is_confirmed_by_the_token_read_back() {
     let mut flow = started(request(1));
     assert_eq!(flow.handle(ClaimEvent::WriteLost, 1), read());
     let found = ClaimEvent::Found { record: record(1, ClaimState::Claimed), version: 4 };
@@ -112,10 +112,10 @@
 }
 
 #[test]
-fn a_claim_of_another_yields_its_outcome() {
+fn finished_claim_of_another_request_returns_its_outcome() {
     let reason = Reason::UpstreamError;
     let cases = [
-        (ClaimState::Done(answer(b"a")), ClaimAction::Reply(ClaimReply::Response(answer(b"a")))),
+        (ClaimState::Done(response(b"a")), ClaimAction::Reply(ClaimReply::Response(response(b"a")))),
         (ClaimState::Failed { reason }, refused(reason, Execution::Failed)),
         (ClaimState::Unknown { reason }, refused(reason, Execution::Unknown)),
     ];
@@ -127,7 +127,7 @@
 }
 
 #[test]
-fn a_released_claim_is_taken_over_in_a_new_epoch() {
+fn released_claim_is_taken_over_in_a_new_epoch() {
     let mut flow = started(request(1));
     let exists = ClaimEvent::Exists { record: record(2, ClaimState::NotRun), version: 9 };
     let taken = ClaimRecord { epoch: 2, ..record(1, ClaimState::Claimed) };
@@ -136,7 +136,7 @@
 }
 
 #[test]
-fn a_claim_that_vanished_is_not_created_again() {
+fn claim_deleted_after_it_was_seen_is_not_created_again() {
     let mut flow = started(request(1));
     let exists = ClaimEvent::Exists { record: record(2, ClaimState::NotRun), version: 9 };
     flow.handle(exists, 1);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_reused_key_is_a_conflict() {
+fn key_of_a_different_call_is_refused_as_reused() {
     let mut flow = started(request(1));
     let other = ClaimRecord { fingerprint: Digest::of(b"x"), ..record(2, ClaimState::NotRun) };
     let exists = ClaimEvent::Exists { record: other, version: 1 };
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn an_unreachable_platform_refuses_at_once() {
+fn unreachable_platform_refuses_immediately_as_not_run_only_for_the_only_copy() {
     for (only_copy, execution) in [(true, Execution::NotRun), (false, Execution::Unknown)] {
         let mut flow = started(ClaimRequest { only_copy, ..request(1) });
         let actions = flow.handle(ClaimEvent::WriteUnavailable, 1);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_confirmed_not_run_tries_again_or_releases_the_claim() {
+fn confirmed_not_run_is_retried_until_the_dispatch_limit_and_then_releases_the_claim() {
     let mut flow = started(request(1));
     permission(flow.handle(ClaimEvent::Written { version: 1 }, 1));
     assert_eq!(permission(flow.handle(not_run(1, true), 2)).number(), 2);
@@ -175,7 +175,7 @@
 }
 
 #[test]
-fn an_expired_permission_is_not_redeemed() {
+fn expired_permission_is_not_redeemed() {
     let mut flow = started(request(1));
     let permission = permission(flow.handle(ClaimEvent::Written { version: 1 }, 1));
     assert_eq!(permission.redeem(DISPATCH_BY_MS + 1), None);
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn an_unsettled_claim_is_fenced_after_the_refusal() {
+fn absent_claim_is_created_as_not_run_after_an_unconfirmed_write_was_refused() {
     let mut flow = started(request(1));
     flow.handle(ClaimEvent::WriteLost, 1);
     assert_eq!(flow.handle(ClaimEvent::ReadUnavailable, 2), Vec::new());
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn the_deadline_yields_unknown_and_a_late_result_is_still_recorded() {
+fn deadline_during_dispatch_refuses_as_unknown_and_a_late_result_is_still_recorded() {
     let mut flow = started(request(1));
     permission(flow.handle(ClaimEvent::Written { version: 1 }, 1));
     assert_eq!(flow.next_tick_ms(), Some(DEADLINE_MS));
@@ -212,18 +212,18 @@
 }
 
 #[test]
-fn claim_names_separate_their_parts() {
+fn claim_names_differ_when_their_parts_differ() {
     assert_eq!(claim_name("a", "b", "c"), claim_name("a", "b", "c"));
     assert_ne!(claim_name("ab", "", "c"), claim_name("a", "b", "c"));
     assert_ne!(claim_name("a", "b", "c"), claim_name("a", "b", "d"));
 }
 
 #[test]
-fn records_survive_json() {
+fn records_round_trip_through_json() {
     let large = Bytes::from(vec![0; record::MAX_RECORDED_BODY_BYTES + 1]);
-    let large = CallResponse { body: RecordedBody::Whole(large), ..answer(b"") };
-    for answer in [answer(b"text \xc3\xb1"), answer(b"\xff\x00"), large.recorded()] {
-        let record = record(u128::MAX, ClaimState::Done(answer));
+    let large = CallResponse { body: RecordedBody::Whole(large), ..response(b"") };
+    for response in [response(b"text \xc3\xb1"), response(b"\xff\x00"), large.recorded()] {
+        let record = record(u128::MAX, ClaimState::Done(response));
         let json = serde_json::to_string(&record).unwrap();
         assert!(json.contains("ffffffffffffffffffffffffffffffff"));
         assert_eq!(serde_json::from_str::<ClaimRecord>(&json).unwrap(), record);
@@ -231,9 +231,9 @@
 }
 
 #[test]
-fn the_largest_record_fits_the_platform() {
+fn largest_record_stays_below_one_megabyte_of_json() {
     let body = Bytes::from(vec![0; record::MAX_RECORDED_BODY_BYTES]);
-    let answer = CallResponse { body: RecordedBody::Whole(body), ..answer(b"") };
-    let record = record(1, ClaimState::Done(answer.recorded()));
+    let response = CallResponse { body: RecordedBody::Whole(body), ..response(b"") };
+    let record = record(1, ClaimState::Done(response.recorded()));
     assert!(serde_json::to_string(&record).unwrap().len() < 1_000_000);
 }
--- a/crates/core/src/attempt/assembler.rs
+++ b/crates/core/src/attempt/assembler.rs
@@ -1,4 +1,4 @@
-//! Reassembly of one attempt's output at the entry.
+//! Reassembly of the output of one attempt at the entry.
 
 use std::collections::BTreeMap;
 
@@ -10,47 +10,50 @@
     sabotage::{Mechanisms, Sabotage},
 };
 
-/// Distance in chunks ahead of the next missing one up to which early chunks are kept.
-const EARLY_WINDOW_CHUNKS: u64 = 4096;
+/// Size of the reorder buffer in chunks, from the next missing one on.
+const REORDER_WINDOW_CHUNKS: u64 = 4096;
 
-/// Puts the output of one attempt together from pages that may be late, repeated or out of order.
+/// Reassembles the output of one attempt from pages that may arrive late, repeatedly or out of
+/// order.
 ///
-/// Each chunk is released exactly once and in order. Only pages that carry the identity of the live
-/// attempt in full are taken.
+/// Each chunk is released exactly once and in order. Pages are accepted only if they carry the full
+/// identity of the attempt: its identifier and the incarnation of the agent.
 #[derive(Debug)]
 pub struct OutputAssembler {
     attempt: AttemptId,
     agent: Incarnation,
     next_sequence: u64,
-    early: BTreeMap<u64, Bytes>,
-    highest_end: u64,
+    /// Chunks by sequence number that arrived before an earlier one.
+    reorder_buffer: BTreeMap<u64, Bytes>,
+    /// Largest sequence number seen, plus one.
+    max_end: u64,
     completion: Option<Completion>,
     mismatched_pages: u64,
     contradictory_pages: u64,
     mechanisms: Mechanisms,
 }
 
-/// What became of a page.
+/// Result of receiving a page.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PageResult {
-    /// The page was taken; these chunks follow those released before.
+    /// The page was accepted; these chunks follow those released before.
     Released(Vec<Bytes>),
-    /// The page belongs to another attempt or another agent run and was dropped.
+    /// The page belongs to another attempt or agent incarnation and was dropped.
     Mismatched,
     /// The page contradicts an earlier one about the length of the output; the attempt has to be
-    /// given up because its answer cannot be trusted.
+    /// abandoned because its output cannot be trusted.
     Contradictory,
 }
 
 impl OutputAssembler {
-    /// Starts an empty output of `attempt` as run by the agent run `agent`.
+    /// Creates an empty output of `attempt` as run by the agent incarnation `agent`.
     pub fn new(attempt: AttemptId, agent: Incarnation) -> Self {
         Self {
             attempt,
             agent,
             next_sequence: 0,
-            early: BTreeMap::new(),
-            highest_end: 0,
+            reorder_buffer: BTreeMap::new(),
+            max_end: 0,
             completion: None,
             mismatched_pages: 0,
             contradictory_pages: 0,
@@ -58,29 +61,30 @@
         }
     }
 
-    /// Starts an empty output with one safety mechanism switched off.
+    /// Creates an empty output with one safety mechanism disabled.
     #[cfg(feature = "sabotage")]
     pub fn with_sabotage(attempt: AttemptId, agent: Incarnation, sabotage: Sabotage) -> Self {
         Self { mechanisms: Mechanisms::without(sabotage), ..Self::new(attempt, agent) }
     }
 
-    /// Takes a page that claims to stem from `attempt` at the agent run `agent`.
+    /// Processes a page whose sender states that it belongs to `attempt` at the agent incarnation
+    /// `agent`.
     pub fn receive_page(
         &mut self,
         attempt: AttemptId,
         agent: Incarnation,
         page: OutputPage,
     ) -> PageResult {
-        let matches = attempt == self.attempt && agent == self.agent;
-        if !matches && self.mechanisms.has(Sabotage::ResultMatching) {
+        let is_expected = attempt == self.attempt && agent == self.agent;
+        if !is_expected && self.mechanisms.has(Sabotage::ResultMatching) {
             self.mismatched_pages += 1;
             return PageResult::Mismatched;
         }
-        let Some(end) = self.checked_end(&page) else {
+        let Some(end) = self.validated_end(&page) else {
             self.contradictory_pages += 1;
             return PageResult::Contradictory;
         };
-        self.highest_end = self.highest_end.max(end);
+        self.max_end = self.max_end.max(end);
         if let Progress::Completed(completion) = page.progress {
             self.completion.get_or_insert(completion);
         }
@@ -88,23 +92,24 @@
             self.next_sequence += page.chunks.len() as u64;
             return PageResult::Released(page.chunks);
         }
-        self.keep(page.first_sequence, page.chunks);
-        PageResult::Released(self.release())
+        self.buffer(page.first_sequence, page.chunks);
+        PageResult::Released(self.release_in_order())
     }
 
-    /// Returns the sequence number of the first chunk that is still missing.
+    /// Returns the sequence number of the first missing chunk.
     pub fn next_sequence(&self) -> u64 {
         self.next_sequence
     }
 
-    /// Returns the completion once the output is whole.
+    /// Returns the completion once all chunks have been released.
     pub fn completed(&self) -> Option<&Completion> {
         let completion = self.completion.as_ref()?;
-        let arrived = self.next_sequence == completion.chunk_count;
-        (arrived || !self.mechanisms.has(Sabotage::WholeAnswer)).then_some(completion)
+        let has_all_chunks = self.next_sequence == completion.chunk_count;
+        (has_all_chunks || !self.mechanisms.has(Sabotage::WholeAnswer)).then_some(completion)
     }
 
-    /// Returns the number of pages dropped because they belong to another attempt or agent run.
+    /// Returns the number of pages dropped because they belong to another attempt or agent
+    /// incarnation.
     pub fn mismatched_pages(&self) -> u64 {
         self.mismatched_pages
     }
@@ -114,8 +119,11 @@
         self.contradictory_pages
     }
 
-    /// Returns the end of the page's chunks unless the page contradicts what is known.
-    fn checked_end(&self, page: &OutputPage) -> Option<u64> {
+    /// Returns the sequence number after the last chunk of the page, or zero for a page without
+    /// chunks.
+    ///
+    /// Returns `None` if the page contradicts an earlier one or its sequence numbers overflow.
+    fn validated_end(&self, page: &OutputPage) -> Option<u64> {
         let end = page.first_sequence.checked_add(page.chunks.len() as u64)?;
         let end = if page.chunks.is_empty() { 0 } else { end };
         let mut chunk_count = self.completion.as_ref().map(|it| it.chunk_count);
@@ -125,30 +133,30 @@
             }
             chunk_count = Some(completion.chunk_count);
         }
-        let highest_end = self.highest_end.max(end);
-        if chunk_count.is_some_and(|it| highest_end > it) {
+        let max_end = self.max_end.max(end);
+        if chunk_count.is_some_and(|it| max_end > it) {
             return None;
         }
         Some(end)
     }
 
-    fn keep(&mut self, first_sequence: u64, chunks: Vec<Bytes>) {
-        let window_end = self.next_sequence.saturating_add(EARLY_WINDOW_CHUNKS);
+    fn buffer(&mut self, first_sequence: u64, chunks: Vec<Bytes>) {
+        let window_end = self.next_sequence.saturating_add(REORDER_WINDOW_CHUNKS);
         for (sequence, chunk) in (first_sequence..).zip(chunks) {
             if sequence < self.next_sequence {
                 continue;
             }
-            // A chunk beyond the window is read again later, so that memory stays bounded.
+            // Chunks beyond the window are dropped to bound memory; they are read again later.
             if sequence >= window_end {
                 break;
             }
-            self.early.entry(sequence).or_insert(chunk);
+            self.reorder_buffer.entry(sequence).or_insert(chunk);
         }
     }
 
-    fn release(&mut self) -> Vec<Bytes> {
+    fn release_in_order(&mut self) -> Vec<Bytes> {
         let mut released = Vec::new();
-        while let Some(chunk) = self.early.remove(&self.next_sequence) {
+        while let Some(chunk) = self.reorder_buffer.remove(&self.next_sequence) {
             released.push(chunk);
             self.next_sequence += 1;
         }
--- a/crates/core/src/attempt/mod.rs
+++ b/crates/core/src/attempt/mod.rs
@@ -1,4 +1,4 @@
-//! Attempts: matching of results at entries, records at agents, and the retry budget.
+//! Attempts: output reassembly at entries, records at agents, and the retry budget.
 
 mod assembler;
 mod ledger;
--- a/crates/core/src/attempt/record.rs
+++ b/crates/core/src/attempt/record.rs
@@ -1,4 +1,4 @@
-//! Record of one attempt in an agent, and the answers of the ledger.
+//! Record of one attempt at an agent, and the results of ledger operations.
 
 use bytes::Bytes;
 
@@ -9,55 +9,55 @@
 };
 
 slotmap::new_key_type! {
-    /// Names a record in an [`AttemptLedger`](super::AttemptLedger).
+    /// Identifies a record in an [`AttemptLedger`](super::AttemptLedger).
     pub struct AttemptKey;
 }
 
-/// Answer to a submit.
+/// Result of a submit.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SubmitResult {
     /// The attempt is new and was recorded as queued.
     Queued(AttemptKey),
-    /// The attempt was submitted before; its record goes on unchanged.
+    /// The attempt was submitted before; its record is unchanged.
     Duplicate(AttemptKey),
     /// The attempt was not dispatched and never will be.
     NotRun(Refusal),
-    /// The attempt was not recorded, and whether it ran earlier is not known.
+    /// The attempt was not recorded, and it is unknown whether it ran earlier.
     Unknown,
 }
 
-/// Answer to a cancel.
+/// Result of a cancel.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CancelResult {
     /// The attempt was not dispatched and never will be.
     NotRun(Refusal),
-    /// The attempt runs; the caller may cancel it at the upstream.
+    /// The attempt is running; the caller may cancel it at the upstream.
     Running(AttemptKey),
     /// The attempt was dispatched and has ended.
     Ended(AttemptKey),
-    /// Whether the attempt ran is not known.
+    /// It is unknown whether the attempt ran.
     Unknown,
 }
 
-/// Answer to the check straight before dispatch.
+/// Result of [`begin_dispatch`](super::AttemptLedger::begin_dispatch).
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum DispatchCheck {
-    /// The attempt has to be dispatched now; the answer is given once for each attempt.
+    /// The attempt has to be dispatched now; returned once for each attempt.
     Dispatch,
     /// The attempt must not be dispatched and never will be.
     NotRun(Refusal),
-    /// The attempt was dispatched before, or its record is gone.
+    /// The attempt was dispatched before, or its record was evicted.
     AlreadyDispatched,
 }
 
-/// What the ledger knows about an attempt.
+/// Result of reading an attempt from the ledger.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum AttemptLookup {
-    /// The attempt was accepted; output from the requested sequence number on.
+    /// The attempt was accepted; contains its output from the requested sequence number on.
     Accepted(OutputPage),
     /// The attempt was not dispatched and never will be.
     NotRun(Refusal),
-    /// The ledger has no record, or the output is no longer kept.
+    /// There is no record, or its output was discarded.
     Unknown,
 }
 
@@ -76,8 +76,9 @@
     pub(crate) dispatch_by_ms: u64,
     pub(crate) state: RecordState,
     pub(crate) chunks: Vec<Bytes>,
+    /// Total size of the chunks that the attempt produced, also after they were discarded.
     pub(crate) output_bytes: usize,
-    pub(crate) output_dropped: bool,
+    pub(crate) output_discarded: bool,
 }
 
 impl Record {
@@ -88,7 +89,7 @@
             state,
             chunks: Vec::new(),
             output_bytes: 0,
-            output_dropped: false,
+            output_discarded: false,
         }
     }
 
@@ -96,13 +97,13 @@
         if let RecordState::NotRun(refusal) = self.state {
             return AttemptLookup::NotRun(refusal);
         }
-        if self.output_dropped {
+        if self.output_discarded {
             return AttemptLookup::Unknown;
         }
         AttemptLookup::Accepted(self.page(from_sequence, max_bytes))
     }
 
-    /// Cuts a page that holds at least one chunk, if there is one, and else stays in `max_bytes`.
+    /// Returns a page of at most `max_bytes` bytes, or a single larger chunk.
     fn page(&self, from_sequence: u64, max_bytes: usize) -> OutputPage {
         let start = usize::try_from(from_sequence).unwrap_or(usize::MAX).min(self.chunks.len());
         let mut chunks = Vec::new();
--- a/crates/core/src/attempt/retry_budget.rs
+++ b/crates/core/src/attempt/retry_budget.rs
@@ -1,15 +1,15 @@
-//! Budget that keeps retries a fixed fraction of the completed work.
+//! Budget that limits retries and hedges to a fraction of the completed stages.
 
 use crate::sabotage::{Mechanisms, Sabotage};
 
 /// Cost of one retry in credits; a completed stage earns `retries_per_hundred` credits.
 const RETRY_COST_CREDITS: u64 = 100;
 
-/// Grants retries and hedges as a fraction of the stages that completed.
+/// Token bucket for retries and hedges that is refilled by completed stages.
 ///
 /// After `n` completed stages at most `reserve + n * retries_per_hundred / 100` retries have been
-/// granted. Because every stage earns credit only once, whichever of its attempts completed it, and
-/// has one first attempt, the number of attempts stays below `1 + retries_per_hundred / 100` times
+/// granted. Every stage has one first attempt and earns credit only once, whichever of its attempts
+/// completed it. The number of attempts therefore stays below `1 + retries_per_hundred / 100` times
 /// the number of stages, plus the reserve.
 #[derive(Clone, Debug)]
 pub struct RetryBudget {
@@ -22,7 +22,7 @@
 impl RetryBudget {
     /// Creates a budget with a full reserve.
     ///
-    /// `reserve` is the largest number of retries that can be saved up for later.
+    /// `reserve` is the maximum number of retries that can accumulate.
     pub fn new(retries_per_hundred: u32, reserve: u32) -> Self {
         let max_credits = u64::from(reserve) * RETRY_COST_CREDITS;
         Self {
@@ -33,22 +33,22 @@
         }
     }
 
-    /// Creates a budget with one safety mechanism switched off.
+    /// Creates a budget with one safety mechanism disabled.
     #[cfg(feature = "sabotage")]
     pub fn with_sabotage(retries_per_hundred: u32, reserve: u32, sabotage: Sabotage) -> Self {
         let mechanisms = Mechanisms::without(sabotage);
         Self { mechanisms, ..Self::new(retries_per_hundred, reserve) }
     }
 
-    /// Takes over a changed rate.
+    /// Changes the number of retries earned per hundred completed stages.
     pub fn set_retries_per_hundred(&mut self, retries_per_hundred: u32) {
         self.credits_per_stage = u64::from(retries_per_hundred);
     }
 
     /// Records a completed attempt.
     ///
-    /// `first_of_stage` tells whether no attempt for the same stage of the same request completed
-    /// before; further ones earn no credit.
+    /// `first_of_stage` is whether no attempt for the same stage of the same request completed
+    /// before; later completions earn no credit.
     pub fn on_completed(&mut self, first_of_stage: bool) {
         if !first_of_stage && self.mechanisms.has(Sabotage::CreditOncePerStage) {
             return;
@@ -56,7 +56,7 @@
         self.credits = (self.credits + self.credits_per_stage).min(self.max_credits);
     }
 
-    /// Takes one retry out of the budget; returns `false` when the budget is spent.
+    /// Takes one retry from the budget; returns `false` if the budget is exhausted.
     #[must_use]
     pub fn try_retry(&mut self) -> bool {
         if self.credits < RETRY_COST_CREDITS {
--- a/crates/core/src/attempt/tests.rs
+++ b/crates/core/src/attempt/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the attempt slice.
+//! Unit tests of the attempt module.
 
 use bytes::Bytes;
 
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn pages_of_another_attempt_or_agent_run_are_dropped() {
+fn pages_of_another_attempt_or_agent_incarnation_are_dropped() {
     let mut output = OutputAssembler::new(attempt(0), AGENT);
     let other = page(0, &["x"], completed(1));
     assert_eq!(output.receive_page(attempt(1), AGENT, other.clone()), PageResult::Mismatched);
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn contradictory_lengths_are_noticed() {
+fn page_that_contradicts_the_output_length_is_rejected() {
     let mut output = OutputAssembler::new(attempt(0), AGENT);
     output.receive_page(attempt(0), AGENT, page(0, &["a", "b"], Progress::Running));
     for wrong in [page(0, &[], completed(1)), page(u64::MAX, &["x"], Progress::Running)] {
@@ -94,14 +94,14 @@
 }
 
 #[test]
-fn an_empty_answer_is_whole() {
+fn completed_output_without_chunks_is_complete() {
     let mut output = OutputAssembler::new(attempt(0), AGENT);
     output.receive_page(attempt(0), AGENT, page(0, &[], completed(0)));
     assert!(output.completed().is_some());
 }
 
 #[test]
-fn a_repeated_submit_is_dispatched_once() {
+fn duplicate_submit_returns_the_same_record_and_is_dispatched_once() {
     let mut ledger = AttemptLedger::new(LIMITS);
     let key = queued(ledger.submit(attempt(0), 40, 0));
     assert_eq!(ledger.submit(attempt(0), 40, 1), SubmitResult::Duplicate(key));
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn a_cancel_before_its_submit_leaves_a_tombstone() {
+fn cancel_before_its_submit_leaves_a_tombstone_that_refuses_the_submit() {
     let mut ledger = AttemptLedger::new(LIMITS);
     let cancelled = not_run(Reason::Cancelled);
     assert_eq!(ledger.cancel(attempt(0), 40, 0), CancelResult::NotRun(cancelled));
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn the_dispatch_limit_is_checked_at_submit_and_again_at_dispatch() {
+fn attempt_past_its_dispatch_limit_is_refused_at_submit_and_at_dispatch() {
     let mut ledger = AttemptLedger::new(LIMITS);
     let expired = not_run(Reason::DispatchExpired);
     assert_eq!(ledger.submit(attempt(0), 10, 11), SubmitResult::NotRun(expired));
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn an_evicted_attempt_is_unknown() {
+fn evicted_attempt_is_reported_as_unknown() {
     let mut ledger = AttemptLedger::new(LIMITS);
     let key = queued(ledger.submit(attempt(0), 40, 0));
     assert_eq!(ledger.begin_dispatch(key, 1), DispatchCheck::Dispatch);
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn a_full_ledger_makes_no_promise() {
+fn full_ledger_answers_new_attempts_with_unknown() {
     let mut ledger = AttemptLedger::new(LIMITS);
     for number in 0..3 {
         queued(ledger.submit(attempt(number), 40, 0));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn output_is_read_in_pages_and_the_oldest_is_dropped() {
+fn output_is_read_in_pages_and_the_oldest_is_discarded_above_the_size_limit() {
     let mut ledger = AttemptLedger::new(LIMITS);
     for number in 0..2 {
         let key = queued(ledger.submit(attempt(number), 40, 0));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn retries_stay_a_fraction_of_completed_stages() {
+fn only_the_first_completion_of_a_stage_earns_retry_credit() {
     let mut budget = RetryBudget::new(20, 2);
     assert!(budget.try_retry());
     assert!(budget.try_retry());
--- a/crates/core/tests/at_most_once_fuzz.rs
+++ b/crates/core/tests/at_most_once_fuzz.rs
@@ -1,4 +1,4 @@
-//! Fuzz of the at-most-once flow: copies of one call through several entries and a faulty platform.
+//! Property test of the claim flow: copies of one call at several entries with a faulty platform.
 
 mod fuzz_support;
 
@@ -19,14 +19,14 @@
 const DEADLINE_WITHIN_MS: u64 = 60;
 const MAX_STEPS: usize = 60;
 const MAX_COPIES: usize = 4;
-const MAX_HEALING_ROUNDS: usize = 200;
+const MAX_COMPLETION_ROUNDS: usize = 200;
 const CASES: u32 = 8000;
 
 #[derive(Clone, Debug)]
 enum Step {
     Send { only_copy: bool, other_body: bool },
     Platform { copy: usize, fault: Fault },
-    Land { write: usize },
+    ApplyLateWrite { write: usize },
     Submit { copy: usize },
     Run { copy: usize },
     Report { copy: usize, report: Report },
@@ -37,21 +37,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Fault {
     None,
-    /// A failed create does not return the claim that exists.
+    /// A create that conflicts does not return the existing claim.
     WithoutRecord,
-    LostBefore,
-    LostAfter,
-    LostAndLate,
+    /// The write has no effect and its result is unknown.
+    RequestLost,
+    /// The write takes effect and its result is unknown.
+    ResponseLost,
+    /// The write takes effect later, if at all, and its result is unknown.
+    ResponseLostAndLate,
     Unavailable,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Report {
-    Answered,
+    Completed,
     Failed,
     Lost,
     NotRun { try_again: bool },
-    Repeated,
+    DuplicateNotRun,
 }
 
 struct Machine;
@@ -68,24 +71,24 @@
         let fault = prop_oneof![
             5 => Just(Fault::None),
             1 => Just(Fault::WithoutRecord),
-            1 => Just(Fault::LostBefore),
-            2 => Just(Fault::LostAfter),
-            2 => Just(Fault::LostAndLate),
+            1 => Just(Fault::RequestLost),
+            2 => Just(Fault::ResponseLost),
+            2 => Just(Fault::ResponseLostAndLate),
             1 => Just(Fault::Unavailable),
         ];
         let report = prop_oneof![
-            Just(Report::Answered),
+            Just(Report::Completed),
             Just(Report::Failed),
             Just(Report::Lost),
             any::<bool>().prop_map(|try_again| Report::NotRun { try_again }),
-            Just(Report::Repeated),
+            Just(Report::DuplicateNotRun),
         ];
         let copy = 0..MAX_COPIES;
         prop_oneof![
             3 => (any::<bool>(), prop::bool::weighted(0.1))
                 .prop_map(|(only_copy, other_body)| Step::Send { only_copy, other_body }),
             8 => (copy.clone(), fault).prop_map(|(copy, fault)| Step::Platform { copy, fault }),
-            2 => (0..4usize).prop_map(|write| Step::Land { write }),
+            2 => (0..4usize).prop_map(|write| Step::ApplyLateWrite { write }),
             3 => copy.clone().prop_map(|copy| Step::Submit { copy }),
             3 => copy.clone().prop_map(|copy| Step::Run { copy }),
             3 => (copy.clone(), report).prop_map(|(copy, report)| Step::Report { copy, report }),
@@ -98,7 +101,7 @@
     fn apply(_: (), _: &Step) {}
 }
 
-/// A submit at an agent.
+/// An attempt at an agent.
 struct Attempt {
     number: u16,
     dispatch_by_ms: u64,
@@ -112,7 +115,7 @@
     NotRun,
 }
 
-/// One copy of the call at its own entry.
+/// One copy of the call, each at an entry of its own.
 struct Copy {
     flow: ClaimFlow,
     other_body: bool,
@@ -131,11 +134,11 @@
     copies: Vec<Copy>,
     now_ms: u64,
     runs: u32,
-    /// Whether the call that ran had the other body.
+    /// Whether the call that ran had the alternative body.
     ran_other_body: bool,
 }
 
-fn answer() -> CallResponse {
+fn response() -> CallResponse {
     let body = RecordedBody::Whole(Bytes::from_static(b"booked"));
     CallResponse { status: 201, content_type: None, body }
 }
@@ -160,7 +163,7 @@
         let copies = self.copies.len().max(1);
         match *step {
             Step::Send { only_copy, other_body } => return self.send(only_copy, other_body),
-            Step::Land { write } if write < self.late_writes.len() => {
+            Step::ApplyLateWrite { write } if write < self.late_writes.len() => {
                 let write = self.late_writes.remove(write);
                 self.write(&write);
             }
@@ -171,14 +174,14 @@
             Step::Run { copy } => return self.run(copy % copies),
             Step::Report { copy, report } => return self.report(copy % copies, report),
             Step::Tick { copy } => return self.handle(copy % copies, ClaimEvent::Tick),
-            Step::Land { .. } => {}
+            Step::ApplyLateWrite { .. } => {}
         }
         Ok(())
     }
 
     fn send(&mut self, only_copy: bool, other_body: bool) -> Result<(), String> {
-        let promised = self.copies.iter().any(|it| it.only_copy && it.reply.is_none());
-        if promised || self.copies.len() == MAX_COPIES {
+        let is_only_copy_pending = self.copies.iter().any(|it| it.only_copy && it.reply.is_none());
+        if is_only_copy_pending || self.copies.len() == MAX_COPIES {
             return Ok(());
         }
         let only_copy = only_copy && self.copies.is_empty();
@@ -233,12 +236,12 @@
             },
             (_, true) => ClaimEvent::ReadUnavailable,
             (Fault::Unavailable, false) => ClaimEvent::WriteUnavailable,
-            (Fault::LostBefore, false) => ClaimEvent::WriteLost,
-            (Fault::LostAfter, false) => {
+            (Fault::RequestLost, false) => ClaimEvent::WriteLost,
+            (Fault::ResponseLost, false) => {
                 self.write(&call);
                 ClaimEvent::WriteLost
             }
-            (Fault::LostAndLate, false) => {
+            (Fault::ResponseLostAndLate, false) => {
                 self.late_writes.push(call);
                 ClaimEvent::WriteLost
             }
@@ -291,7 +294,7 @@
             return Err("the call ran twice".to_owned());
         }
         if copy.reply.as_ref().is_some_and(is_not_run) {
-            return Err("the call ran after its refusal as not run".to_owned());
+            return Err("the call ran after it was refused as not run".to_owned());
         }
         Ok(())
     }
@@ -302,7 +305,7 @@
         let number = attempt.number;
         let reason = Reason::UpstreamError;
         let result = match (report, attempt.state) {
-            (Report::Answered, AttemptState::Ran) => DispatchResult::Completed(answer()),
+            (Report::Completed, AttemptState::Ran) => DispatchResult::Completed(response()),
             (Report::Failed, AttemptState::Ran) => DispatchResult::Failed { reason },
             (Report::Lost, _) => DispatchResult::Lost { reason },
             (Report::NotRun { try_again }, AttemptState::Queued) => {
@@ -310,7 +313,7 @@
                 not_run_reports.push(number);
                 return self.handle(copy, not_run(number, try_again));
             }
-            (Report::Repeated, _) => {
+            (Report::DuplicateNotRun, _) => {
                 let Some(&number) = not_run_reports.first() else { return Ok(()) };
                 return self.handle(copy, not_run(number, false));
             }
@@ -323,7 +326,7 @@
         let other_body = self.copies[copy].other_body;
         let ran = self.runs == 1 && self.ran_other_body == other_body;
         let is_true = match &reply {
-            ClaimReply::Response(given) => ran && *given == answer(),
+            ClaimReply::Response(given) => ran && *given == response(),
             ClaimReply::KeyReused => self.copies.iter().any(|it| it.other_body != other_body),
             ClaimReply::Refused(refusal) => match refusal.execution {
                 Execution::NotRun => self.runs == 0,
@@ -332,7 +335,7 @@
             },
         };
         if !is_true {
-            return Err(format!("false reply to copy {copy} after {} runs: {reply:?}", self.runs));
+            return Err(format!("incorrect reply to copy {copy} after {} runs: {reply:?}", self.runs));
         }
         if self.copies[copy].reply.replace(reply).is_some() {
             return Err(format!("copy {copy} got two replies"));
@@ -340,14 +343,15 @@
         Ok(())
     }
 
-    /// Lets every flow end without further faults, then checks that no key stays claimed in vain.
-    fn heal(&mut self) -> Result<(), String> {
-        for _ in 0..MAX_HEALING_ROUNDS {
+    /// Runs every flow to its end without further faults, then checks that a key whose call never ran is
+    /// released.
+    fn run_to_completion(&mut self) -> Result<(), String> {
+        for _ in 0..MAX_COMPLETION_ROUNDS {
             let mut next_tick_ms = u64::MAX;
             for copy in 0..self.copies.len() {
                 self.platform(copy, Fault::None)?;
                 self.submit(copy)?;
-                self.report(copy, Report::Answered)?;
+                self.report(copy, Report::Completed)?;
                 self.report(copy, Report::NotRun { try_again: false })?;
                 let is_idle = self.copies[copy].call.is_none();
                 let tick_ms = self.copies[copy].flow.next_tick_ms().filter(|_| is_idle);
@@ -367,7 +371,7 @@
                 self.handle(copy, ClaimEvent::Tick)?;
             }
         }
-        Err("a flow does not end".to_owned())
+        Err("a flow did not finish".to_owned())
     }
 
     fn check_end(&self) -> Result<(), String> {
@@ -376,28 +380,28 @@
         }
         let is_claimed = self.claim.as_ref().is_some_and(|it| it.0.state == ClaimState::Claimed);
         if self.runs == 0 && is_claimed {
-            return Err("the call never ran and its key stays claimed".to_owned());
+            return Err("the call never ran but its key stayed claimed".to_owned());
         }
         Ok(())
     }
 }
 
-fn fuzz(sabotage: Option<Sabotage>, heals: bool) -> Result<(), String> {
+fn fuzz(sabotage: Option<Sabotage>, completes: bool) -> Result<(), String> {
     fuzz_support::run::<Machine>(CASES, MAX_STEPS, |steps| {
         let mut world = World::new(sabotage);
         steps.iter().try_for_each(|it| world.step(it))?;
-        if heals { world.heal() } else { Ok(()) }
+        if completes { world.run_to_completion() } else { Ok(()) }
     })
 }
 
 #[test]
-fn a_call_runs_at_most_once_and_replies_are_true() {
+fn call_runs_at_most_once_and_every_reply_is_correct() {
     fuzz(None, true).unwrap();
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn missing_mechanisms_are_noticed() {
+fn each_disabled_mechanism_is_detected() {
     for sabotage in [
         Sabotage::ReadBack,
         Sabotage::TokenComparison,
--- a/crates/core/tests/attempt_fuzz.rs
+++ b/crates/core/tests/attempt_fuzz.rs
@@ -1,4 +1,5 @@
-//! Fuzz of the attempt ledger: no attempt is dispatched twice and `NotRun` is never false.
+//! Property test of the attempt ledger: no attempt is dispatched twice, and none that was
+//! dispatched is reported as `NotRun`.
 
 mod fuzz_support;
 
@@ -28,14 +29,14 @@
 
 #[derive(Clone, Debug)]
 enum Step {
-    /// Creates the attempt if it is new; its messages may then arrive at any time.
+    /// Submits the attempt; its first submit or cancel sets its dispatch limit.
     Submit {
         attempt: usize,
-        limit_within_ms: u64,
+        limit_in_ms: u64,
     },
     Cancel {
         attempt: usize,
-        limit_within_ms: u64,
+        limit_in_ms: u64,
     },
     Dispatch {
         attempt: usize,
@@ -74,13 +75,13 @@
         let attempt = 0..ATTEMPTS;
         let created = (attempt.clone(), 0..60u64);
         prop_oneof![
-            6 => created.clone().prop_map(|(attempt, limit_within_ms)| Step::Submit {
+            6 => created.clone().prop_map(|(attempt, limit_in_ms)| Step::Submit {
                 attempt,
-                limit_within_ms,
+                limit_in_ms,
             }),
-            2 => created.prop_map(|(attempt, limit_within_ms)| Step::Cancel {
+            2 => created.prop_map(|(attempt, limit_in_ms)| Step::Cancel {
                 attempt,
-                limit_within_ms,
+                limit_in_ms,
             }),
             5 => attempt.clone().prop_map(|attempt| Step::Dispatch { attempt }),
             1 => attempt.clone().prop_map(|attempt| Step::Refuse { attempt }),
@@ -97,20 +98,20 @@
     fn apply(_: (), _: &Step) {}
 }
 
-/// What happened to one attempt, as seen from outside the ledger.
+/// History of one attempt, as observed from outside the ledger.
 #[derive(Clone, Debug, Default)]
-struct Seen {
+struct Observed {
     dispatch_by_ms: Option<u64>,
     keys: Vec<AttemptKey>,
     dispatches: u32,
     pushed: u64,
     ended_ms: Option<u64>,
-    said_not_run: bool,
+    reported_not_run: bool,
 }
 
 struct World {
     ledger: AttemptLedger,
-    seen: Vec<Seen>,
+    observed: Vec<Observed>,
     now_ms: u64,
 }
 
@@ -119,7 +120,7 @@
     AttemptId { request, stage: StageIndex(0), number: 0, entry }
 }
 
-/// Content of a chunk, which tells the attempt and the sequence number.
+/// Content of a chunk, which encodes the attempt and the sequence number.
 fn chunk(attempt: usize, sequence: u64) -> Bytes {
     Bytes::from(vec![attempt as u8, sequence as u8])
 }
@@ -127,15 +128,15 @@
 impl World {
     fn new(sabotage: Option<Sabotage>) -> Self {
         let ledger = fuzz_support::construct!(sabotage, AttemptLedger(LIMITS));
-        Self { ledger, seen: vec![Seen::default(); ATTEMPTS], now_ms: 0 }
+        Self { ledger, observed: vec![Observed::default(); ATTEMPTS], now_ms: 0 }
     }
 
     fn step(&mut self, step: &Step) -> Result<(), String> {
         let now_ms = self.now_ms;
         match *step {
-            Step::Submit { attempt, limit_within_ms } => self.submit(attempt, limit_within_ms)?,
-            Step::Cancel { attempt, limit_within_ms } => {
-                let limit_ms = self.limit_ms(attempt, limit_within_ms);
+            Step::Submit { attempt, limit_in_ms } => self.submit(attempt, limit_in_ms)?,
+            Step::Cancel { attempt, limit_in_ms } => {
+                let limit_ms = self.limit_ms(attempt, limit_in_ms);
                 match self.ledger.cancel(id(attempt), limit_ms, now_ms) {
                     CancelResult::NotRun(_) => self.check_not_run(attempt)?,
                     CancelResult::Unknown => self.check_unknown(attempt)?,
@@ -145,17 +146,17 @@
             Step::Dispatch { attempt } => self.dispatch(attempt)?,
             Step::Refuse { attempt } => {
                 let busy = Refusal::not_run(Reason::Busy, 0);
-                for key in self.seen[attempt].keys.clone() {
+                for key in self.observed[attempt].keys.clone() {
                     if self.ledger.refuse(key, busy, now_ms) {
                         self.check_not_run(attempt)?;
                     }
                 }
             }
             Step::Push { attempt } => {
-                let seen = &mut self.seen[attempt];
-                for &key in &seen.keys {
-                    if self.ledger.push_chunk(key, chunk(attempt, seen.pushed)) {
-                        seen.pushed += 1;
+                let observed = &mut self.observed[attempt];
+                for &key in &observed.keys {
+                    if self.ledger.push_chunk(key, chunk(attempt, observed.pushed)) {
+                        observed.pushed += 1;
                     }
                 }
             }
@@ -165,26 +166,26 @@
             Step::Advance { ms } => self.now_ms += ms,
         }
         if self.ledger.len() > LIMITS.max_records {
-            return Err(format!("{} records", self.ledger.len()));
+            return Err(format!("{} records exceed the limit", self.ledger.len()));
         }
         Ok(())
     }
 
     fn limit_ms(&mut self, attempt: usize, within_ms: u64) -> u64 {
-        *self.seen[attempt].dispatch_by_ms.get_or_insert(self.now_ms + within_ms)
+        *self.observed[attempt].dispatch_by_ms.get_or_insert(self.now_ms + within_ms)
     }
 
-    fn submit(&mut self, attempt: usize, limit_within_ms: u64) -> Result<(), String> {
-        let is_new = self.seen[attempt].dispatch_by_ms.is_none();
+    fn submit(&mut self, attempt: usize, limit_in_ms: u64) -> Result<(), String> {
+        let is_new = self.observed[attempt].dispatch_by_ms.is_none();
         let has_room = self.ledger.len() < LIMITS.max_records;
-        let limit_ms = self.limit_ms(attempt, limit_within_ms);
+        let limit_ms = self.limit_ms(attempt, limit_in_ms);
         let result = self.ledger.submit(id(attempt), limit_ms, self.now_ms);
         let is_queued = matches!(result, SubmitResult::Queued(_));
-        if is_new && has_room && limit_within_ms <= LIMITS.dispatch_window_ms && !is_queued {
+        if is_new && has_room && limit_in_ms <= LIMITS.dispatch_window_ms && !is_queued {
             return Err(format!("new attempt {attempt} was not queued: {result:?}"));
         }
         match result {
-            SubmitResult::Queued(key) => self.seen[attempt].keys.push(key),
+            SubmitResult::Queued(key) => self.observed[attempt].keys.push(key),
             SubmitResult::NotRun(_) => self.check_not_run(attempt)?,
             SubmitResult::Unknown => self.check_unknown(attempt)?,
             SubmitResult::Duplicate(_) => {}
@@ -193,7 +194,7 @@
     }
 
     fn dispatch(&mut self, attempt: usize) -> Result<(), String> {
-        for key in self.seen[attempt].keys.clone() {
+        for key in self.observed[attempt].keys.clone() {
             match self.ledger.begin_dispatch(key, self.now_ms) {
                 DispatchCheck::Dispatch => self.on_dispatch(attempt)?,
                 DispatchCheck::NotRun(_) => self.check_not_run(attempt)?,
@@ -204,16 +205,18 @@
     }
 
     fn on_dispatch(&mut self, attempt: usize) -> Result<(), String> {
-        let seen = &mut self.seen[attempt];
-        seen.dispatches += 1;
-        if seen.dispatches > 1 {
+        let observed = &mut self.observed[attempt];
+        observed.dispatches += 1;
+        if observed.dispatches > 1 {
             return Err(format!("attempt {attempt} was dispatched twice"));
         }
-        if seen.said_not_run {
-            return Err(format!("attempt {attempt} was dispatched after it was called not run"));
+        if observed.reported_not_run {
+            return Err(format!(
+                "attempt {attempt} was dispatched after it was reported as not run"
+            ));
         }
-        if seen.dispatch_by_ms.is_none_or(|it| self.now_ms > it) {
-            return Err(format!("attempt {attempt} was dispatched after its limit"));
+        if observed.dispatch_by_ms.is_none_or(|it| self.now_ms > it) {
+            return Err(format!("attempt {attempt} was dispatched after its dispatch limit"));
         }
         Ok(())
     }
@@ -226,14 +229,14 @@
             status: None,
             usage,
         };
-        for key in self.seen[attempt].keys.clone() {
+        for key in self.observed[attempt].keys.clone() {
             let ended = if completes {
                 self.ledger.complete(key, 200, None, usage, self.now_ms)
             } else {
                 self.ledger.fail(key, failure.clone(), self.now_ms)
             };
             if ended {
-                self.seen[attempt].ended_ms = Some(self.now_ms);
+                self.observed[attempt].ended_ms = Some(self.now_ms);
             }
         }
     }
@@ -244,48 +247,57 @@
             AttemptLookup::NotRun(_) => return self.check_not_run(attempt),
             AttemptLookup::Unknown => return self.check_unknown(attempt),
         };
-        let seen = &self.seen[attempt];
+        let observed = &self.observed[attempt];
         let mut sequence = page.first_sequence;
         for found in &page.chunks {
             if *found != chunk(attempt, sequence) {
-                return Err(format!("attempt {attempt} returned a wrong chunk {sequence}"));
+                return Err(format!(
+                    "attempt {attempt} returned wrong content for chunk {sequence}"
+                ));
             }
             sequence += 1;
         }
         let has_ended = matches!(page.progress, Progress::Completed(_) | Progress::Failed(_));
-        if has_ended && (seen.ended_ms.is_none() || sequence != seen.pushed) {
-            return Err(format!("attempt {attempt} ended early: {page:?}"));
+        if has_ended && (observed.ended_ms.is_none() || sequence != observed.pushed) {
+            return Err(format!("attempt {attempt} was reported as ended too early: {page:?}"));
         }
         Ok(())
     }
 
     fn check_not_run(&mut self, attempt: usize) -> Result<(), String> {
-        let seen = &mut self.seen[attempt];
-        seen.said_not_run = true;
-        if seen.dispatches > 0 {
-            return Err(format!("attempt {attempt} ran and was called not run"));
+        let observed = &mut self.observed[attempt];
+        observed.reported_not_run = true;
+        if observed.dispatches > 0 {
+            return Err(format!("attempt {attempt} was dispatched and reported as not run"));
         }
         Ok(())
     }
 
-    /// A dispatched attempt must stay known until its retention has ended.
+    /// Checks that a dispatched attempt is reported as unknown only after its retention has ended.
     fn check_unknown(&self, attempt: usize) -> Result<(), String> {
-        let seen = &self.seen[attempt];
-        let end_ms = seen.ended_ms.unwrap_or(u64::MAX).max(seen.dispatch_by_ms.unwrap_or(0));
-        if seen.dispatches > 0 && self.now_ms <= end_ms.saturating_add(LIMITS.retention_ms) {
-            return Err(format!("attempt {attempt} was forgotten too early"));
+        let observed = &self.observed[attempt];
+        let end_ms =
+            observed.ended_ms.unwrap_or(u64::MAX).max(observed.dispatch_by_ms.unwrap_or(0));
+        if observed.dispatches > 0 && self.now_ms <= end_ms.saturating_add(LIMITS.retention_ms) {
+            return Err(format!(
+                "attempt {attempt} was reported as unknown before its retention ended"
+            ));
         }
         Ok(())
     }
 
-    /// Ends every attempt and checks that all memory is given back.
+    /// Ends every attempt and checks that all records are evicted.
     fn drain(&mut self) -> Result<(), String> {
         for attempt in 0..ATTEMPTS {
             self.dispatch(attempt)?;
             self.end(attempt, true);
         }
         self.ledger.evict(self.now_ms + 1000);
-        if self.ledger.is_empty() { Ok(()) } else { Err("records are left".to_owned()) }
+        if self.ledger.is_empty() {
+            Ok(())
+        } else {
+            Err("records remain after their retention".to_owned())
+        }
     }
 }
 
@@ -298,13 +310,13 @@
 }
 
 #[test]
-fn attempts_are_dispatched_once_and_not_run_is_true() {
+fn attempts_are_dispatched_at_most_once_and_not_run_is_never_reported_falsely() {
     fuzz(None).unwrap();
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn missing_mechanisms_are_noticed() {
+fn each_disabled_mechanism_is_detected() {
     for sabotage in [
         Sabotage::Tombstone,
         Sabotage::TombstoneRetention,
--- a/crates/core/tests/attempt_output_fuzz.rs
+++ b/crates/core/tests/attempt_output_fuzz.rs
@@ -1,4 +1,4 @@
-//! Fuzz of output reassembly and of the retry budget.
+//! Property tests of output reassembly and of the retry budget.
 
 mod fuzz_support;
 
@@ -22,7 +22,7 @@
 const MAX_STEPS: usize = 120;
 const CASES: u32 = 1000;
 
-/// A page that some agent run sends for some attempt, at any time and any number of times.
+/// A page that arrives from some agent incarnation for some attempt, possibly late or repeated.
 #[derive(Clone, Debug)]
 struct PageStep {
     from: u64,
@@ -100,18 +100,18 @@
     OutputPage { first_sequence: step.from, chunks, progress }
 }
 
-fn check_pages(steps: &[PageStep], sabotage: Option<Sabotage>) -> Result<(), String> {
+fn check_reassembly(steps: &[PageStep], sabotage: Option<Sabotage>) -> Result<(), String> {
     let mut output = fuzz_support::construct!(sabotage, OutputAssembler(ATTEMPT, AGENT));
     let mut released = 0;
     let mut completed = false;
-    let mut foreign_pages = 0;
-    let rest = PageStep { from: 0, to: CHUNKS, completes: true, origin: Origin::Live };
-    for step in steps.iter().chain([&rest]) {
+    let mut mismatched_pages = 0;
+    let all_chunks = PageStep { from: 0, to: CHUNKS, completes: true, origin: Origin::Live };
+    for step in steps.iter().chain([&all_chunks]) {
         let (attempt, agent) = identity(step.origin);
         let result = output.receive_page(attempt, agent, page(step));
         let is_live = step.origin == Origin::Live;
         completed |= is_live && step.completes;
-        foreign_pages += u64::from(!is_live);
+        mismatched_pages += u64::from(!is_live);
         match result {
             PageResult::Released(chunks) => {
                 for chunk in chunks {
@@ -125,23 +125,26 @@
             result => return Err(format!("{step:?} gave {result:?}")),
         }
         if output.next_sequence() != released {
-            return Err(format!("next is {} after {released}", output.next_sequence()));
+            return Err(format!(
+                "next sequence is {} after {released} released chunks",
+                output.next_sequence()
+            ));
         }
         if output.completed().is_some() != (completed && released == CHUNKS) {
-            return Err(format!("whole is wrong after {released} chunks"));
+            return Err(format!("wrong completion state after {released} chunks"));
         }
     }
-    if output.mismatched_pages() != foreign_pages || released != CHUNKS {
-        return Err("pages were lost or miscounted".to_owned());
+    if output.mismatched_pages() != mismatched_pages || released != CHUNKS {
+        return Err("not all chunks were released or mismatched pages were miscounted".to_owned());
     }
     Ok(())
 }
 
 fn fuzz_pages(sabotage: Option<Sabotage>) -> Result<(), String> {
-    fuzz_support::run::<Pages>(CASES, MAX_STEPS, |steps| check_pages(steps, sabotage))
+    fuzz_support::run::<Pages>(CASES, MAX_STEPS, |steps| check_reassembly(steps, sabotage))
 }
 
-/// An event of one stage; the first of them starts it.
+/// An event of one stage; the first event starts the stage.
 #[derive(Clone, Debug)]
 enum RetryStep {
     Retry { stage: usize },
@@ -199,18 +202,18 @@
 }
 
 #[test]
-fn each_chunk_is_released_once_and_in_order() {
+fn each_chunk_is_released_exactly_once_and_in_order() {
     fuzz_pages(None).unwrap();
 }
 
 #[test]
-fn retries_multiply_load_by_a_fixed_factor_at_most() {
+fn retries_stay_within_reserve_plus_fraction_of_started_stages() {
     fuzz_retries(None).unwrap();
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn missing_mechanisms_are_noticed() {
+fn each_disabled_mechanism_is_detected() {
     for sabotage in [Sabotage::ResultMatching, Sabotage::ChunkOrder, Sabotage::WholeAnswer] {
         fuzz_support::assert_caught(sabotage, fuzz_pages(Some(sabotage)));
     }
