--- a/crates/core/src/at_most_once/action.rs
+++ b/crates/core/src/at_most_once/action.rs
@@ -115,10 +115,10 @@
 pub enum ClaimReply {
     /// Response of the upstream, to this copy of the call or to an earlier one.
     Response(CallResponse),
-    /// There is no response of an upstream.
+    /// The call was refused or did not complete.
     Refused(Refusal),
-    /// The idempotency key belongs to a different call; this one was not run and never will be under
-    /// this key.
+    /// The idempotency key belongs to a different call; this one was not run and never will be
+    /// under this key.
     KeyReused,
 }
 
@@ -145,9 +145,9 @@
 
     /// Redeems the permission immediately before the call is sent.
     ///
-    /// Returns the dispatch limit for the agent on the entry's clock, in milliseconds, or `None`
-    /// if the permission has expired; the call must then not be sent and the dispatch has to be reported
-    /// as not run.
+    /// Returns the dispatch limit for the agent on the entry's clock, in milliseconds, or `None` if
+    /// the permission has expired; the call must then not be sent and the dispatch has to be
+    /// reported as not run.
     #[must_use]
     pub fn redeem(self, now_ms: u64) -> Option<u64> {
         let expired = now_ms > self.dispatch_by_ms && self.enforces_expiry;
--- a/crates/core/src/at_most_once/flow.rs
+++ b/crates/core/src/at_most_once/flow.rs
@@ -36,7 +36,7 @@
     pub retry_after_ms: u64,
 }
 
-/// State machine that claims a call, dispatch_count it and records its outcome in the claim.
+/// State machine that claims a call, dispatches it and records its outcome in the claim.
 ///
 /// At most one platform call and one dispatch are in progress at any time. The flow continues after
 /// its reply until the outcome of the call is recorded in the claim.
@@ -210,8 +210,8 @@
         self.only_copy = false;
         match &self.goal {
             Goal::Acquire => self.on_foreign_claim(record, version, now_ms),
-            // Updating the released claim changes its version, so that a delayed takeover by this flow can
-            // no longer take effect.
+            // Updating the released claim changes its version, so that a delayed takeover by this
+            // flow can no longer take effect.
             Goal::RecordOutcome(ClaimState::NotRun)
                 if self.may_still_take_effect() && record.state == ClaimState::NotRun =>
             {
@@ -222,7 +222,12 @@
     }
 
     /// Handles a claim that another request holds or has released.
-    fn on_foreign_claim(&mut self, record: &ClaimRecord, version: u64, now_ms: u64) -> Vec<ClaimAction> {
+    fn on_foreign_claim(
+        &mut self,
+        record: &ClaimRecord,
+        version: u64,
+        now_ms: u64,
+    ) -> Vec<ClaimAction> {
         if record.fingerprint != self.request.fingerprint {
             return self.reply_and_finish(ClaimReply::KeyReused);
         }
@@ -237,7 +242,7 @@
                 };
                 self.refuse_and_finish(Reason::KeyClaimed, execution)
             }
-            ClaimState::Done(answer) => self.reply_and_finish(ClaimReply::Response(answer)),
+            ClaimState::Done(response) => self.reply_and_finish(ClaimReply::Response(response)),
             ClaimState::Failed { reason } => self.refuse_and_finish(reason, Execution::Failed),
             ClaimState::Unknown { reason } => self.refuse_and_finish(reason, Execution::Unknown),
         }
@@ -250,7 +255,11 @@
             Goal::Acquire if may_create => self.write(),
             // A claim that existed before is gone, and with it the outcome of the call.
             Goal::Acquire => self.refuse_and_finish(Reason::KeyClaimed, Execution::Unknown),
-            Goal::RecordOutcome(ClaimState::NotRun) if may_create && self.may_still_take_effect() => self.write(),
+            Goal::RecordOutcome(ClaimState::NotRun)
+                if may_create && self.may_still_take_effect() =>
+            {
+                self.write()
+            }
             Goal::RecordOutcome(_) => self.finish(),
         }
     }
@@ -291,13 +300,14 @@
                 let refusal = Refusal::not_run(reason, retry_after_ms);
                 self.reply_and_record(ClaimReply::Refused(refusal), ClaimState::NotRun)
             }
-            DispatchResult::Completed(answer) => {
-                let state = ClaimState::Done(answer.recorded());
-                self.reply_and_record(ClaimReply::Response(answer), state)
-            }
-            DispatchResult::Failed { reason } => {
-                self.reply_and_record(refused(reason, Execution::Failed), ClaimState::Failed { reason })
+            DispatchResult::Completed(response) => {
+                let state = ClaimState::Done(response.recorded());
+                self.reply_and_record(ClaimReply::Response(response), state)
             }
+            DispatchResult::Failed { reason } => self.reply_and_record(
+                refused(reason, Execution::Failed),
+                ClaimState::Failed { reason },
+            ),
             DispatchResult::Lost { reason } => {
                 let state = if self.mechanisms.has(Sabotage::ReleaseOnlyConfirmed) {
                     ClaimState::Unknown { reason }
--- a/crates/core/src/at_most_once/hex.rs
+++ b/crates/core/src/at_most_once/hex.rs
@@ -58,7 +58,8 @@
         deserializer: D,
     ) -> Result<Digest, D::Error> {
         let text = String::deserialize(deserializer)?;
-        super::decode_digest(&text).ok_or_else(|| D::Error::custom("not a digest"))
+        super::decode_digest(&text)
+            .ok_or_else(|| D::Error::custom("digest is not 64 hexadecimal digits"))
     }
 }
 
--- a/crates/core/src/at_most_once/record.rs
+++ b/crates/core/src/at_most_once/record.rs
@@ -87,7 +87,7 @@
     },
 }
 
-/// JSON representation of an [`RecordedBody`].
+/// JSON representation of a [`RecordedBody`].
 #[derive(Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 enum BodyText {
@@ -144,9 +144,9 @@
     fn try_from(body: BodyText) -> Result<Self, Self::Error> {
         match body {
             BodyText::Text(text) => Ok(Self::Whole(text.into())),
-            BodyText::Hex(text) => {
-                hex::decode(&text).map(|it| Self::Whole(it.into())).ok_or("body is not hexadecimal")
-            }
+            BodyText::Hex(text) => hex::decode(&text)
+                .map(|it| Self::Whole(it.into()))
+                .ok_or("response body is not valid hexadecimal"),
             BodyText::Omitted { digest, length_bytes } => {
                 Ok(Self::Omitted { digest, length_bytes })
             }
--- a/crates/core/src/at_most_once/steps.rs
+++ b/crates/core/src/at_most_once/steps.rs
@@ -1,9 +1,9 @@
-//! Steps of a claim flow: writes, reads, dispatch_count and replies.
+//! Steps of a claim flow: writes, reads, dispatches and replies.
 
 use crate::{
     at_most_once::{
         ClaimAction, ClaimFlow, ClaimRecord, ClaimReply, ClaimState, DispatchPermission,
-        flow::{Precondition, Goal, Phase, Purpose},
+        flow::{Goal, Phase, Precondition, Purpose},
     },
     outcome::{Execution, Reason, Refusal},
     sabotage::Sabotage,
@@ -30,8 +30,8 @@
         self.refuse_unconfirmed()
     }
 
-    /// Abandons the claim after a response of the platform, when no call is in progress except possibly
-    /// a write whose response was lost.
+    /// Abandons the claim after a response of the platform, when no call is in progress except
+    /// possibly a write whose response was lost.
     pub(crate) fn abandon(&mut self, now_ms: u64) -> Vec<ClaimAction> {
         let mut actions = self.abandon_if_expired(now_ms);
         let next = if self.acquire_unconfirmed { self.read() } else { self.finish() };
@@ -54,7 +54,11 @@
         vec![ClaimAction::Dispatch(permission)]
     }
 
-    pub(crate) fn reply_and_record(&mut self, reply: ClaimReply, state: ClaimState) -> Vec<ClaimAction> {
+    pub(crate) fn reply_and_record(
+        &mut self,
+        reply: ClaimReply,
+        state: ClaimState,
+    ) -> Vec<ClaimAction> {
         self.goal = Goal::RecordOutcome(state);
         let mut actions = self.reply(reply);
         actions.extend(self.write());
--- a/crates/core/src/at_most_once/tests.rs
+++ b/crates/core/src/at_most_once/tests.rs
@@ -115,7 +115,10 @@
 fn finished_claim_of_another_request_returns_its_outcome() {
     let reason = Reason::UpstreamError;
     let cases = [
-        (ClaimState::Done(response(b"a")), ClaimAction::Reply(ClaimReply::Response(response(b"a")))),
+        (
+            ClaimState::Done(response(b"a")),
+            ClaimAction::Reply(ClaimReply::Response(response(b"a"))),
+        ),
         (ClaimState::Failed { reason }, refused(reason, Execution::Failed)),
         (ClaimState::Unknown { reason }, refused(reason, Execution::Unknown)),
     ];
--- a/crates/core/tests/at_most_once_fuzz.rs
+++ b/crates/core/tests/at_most_once_fuzz.rs
@@ -335,7 +335,10 @@
             },
         };
         if !is_true {
-            return Err(format!("incorrect reply to copy {copy} after {} runs: {reply:?}", self.runs));
+            return Err(format!(
+                "incorrect reply to copy {copy} after {} runs: {reply:?}",
+                self.runs
+            ));
         }
         if self.copies[copy].reply.replace(reply).is_some() {
             return Err(format!("copy {copy} got two replies"));
@@ -343,8 +346,8 @@
         Ok(())
     }
 
-    /// Runs every flow to its end without further faults, then checks that a key whose call never ran is
-    /// released.
+    /// Runs every flow to its end without further faults, then checks that a key whose call never
+    /// ran is released.
     fn run_to_completion(&mut self) -> Result<(), String> {
         for _ in 0..MAX_COMPLETION_ROUNDS {
             let mut next_tick_ms = u64::MAX;
