--- a/crates/core/src/quarantine/crashes.rs
+++ b/crates/core/src/quarantine/crashes.rs
@@ -1,14 +1,14 @@
-//! Requests that crash the upstreams running them, where no agent stands beside an upstream.
+//! Quarantine at entries whose upstreams have no agent.
 //!
-//! An entry sees only its own requests at an upstream, so it cannot tell whether one ran alone. It
-//! goes by the number of upstreams that crashed while they ran a request, and by what completes: a
-//! request that has completed lately, here or later anywhere, did not crash them. Entries pass
-//! strikes and their clearing on to each other.
+//! An entry sees only its own requests at an upstream, so it cannot tell whether a request was
+//! alone there. It relies on the number of upstreams that crashed while running a request, and on
+//! completions: a request that completed recently at this entry before the crash, or later at any
+//! entry, is not the cause. Entries propagate strikes and their clearing to each other.
 //!
-//! # Bound on lost upstreams
+//! # Bound on crashed upstreams
 //!
-//! A request that always crashes its upstream takes down [`CRASH_LIMIT`] of them, and one more for each
-//! copy that is sent before the last strike has reached its entry.
+//! A request that always crashes its upstream crashes [`CRASH_LIMIT`] of them, and one more for
+//! each copy that is sent before the last strike has reached its entry.
 
 use crate::{
     FastMap,
@@ -17,38 +17,40 @@
     switch::Switch,
 };
 
-/// Upstreams that crashed with a request before it is refused, as the users' rules allow.
+/// Number of upstream crashes after which a request is refused, as the requirements of the users
+/// allow.
 pub const CRASH_LIMIT: u32 = 3;
-/// Time for which a crash counts, in milliseconds; later the request gets another chance.
-const RETENTION_MS: u64 = 120_000;
-/// Largest number of strikes held, about those of one zone's upstreams that crash at once.
+/// Time for which a crash counts, in milliseconds; afterwards the request may run again.
+const STRIKE_RETENTION_MS: u64 = 120_000;
+/// Maximum number of strikes held; about as many as arise when the upstreams of one data centre
+/// crash at once.
 const MAX_STRIKES: usize = 1_024;
-/// Time for which a completion speaks for a request, in milliseconds.
-const COMPLETED_MS: u64 = 60_000;
-/// Largest number of completions held, for the requests of a minute at one entry.
-const MAX_COMPLETED: usize = 4_096;
+/// Time after a completion during which crashes are not attributed to the request, in milliseconds.
+const COMPLETION_RETENTION_MS: u64 = 60_000;
+/// Maximum number of completions held, for the requests of one minute at one entry.
+const MAX_COMPLETIONS: usize = 4_096;
 
-/// Cheap name of a request, by which completions are remembered.
+/// Cheap hash of a request, by which completions are recorded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct RequestHash(pub u64);
 
-/// What one entry knows of requests and the upstreams that crashed with them.
+/// Crashes and completions of requests, as known to one entry.
 #[derive(Clone, Debug)]
 pub struct CrashTracker {
     quarantine: Quarantine,
     /// Time of the last completion of each request, in milliseconds.
-    completed: FastMap<RequestHash, u64>,
+    completed_ms_by_request: FastMap<RequestHash, u64>,
     switch: Switch<CrashSabotage>,
 }
 
-/// A mechanism that a test turns off to show that its oracle notices.
+/// Mechanisms that tests disable to show that the test oracle detects it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashSabotage {
     /// Strikes of other entries are ignored.
     Merge,
-    /// A completion before a crash says nothing.
+    /// A completion before a crash has no effect.
     EarlierCompletion,
-    /// A completion after a crash says nothing.
+    /// A completion after a crash has no effect.
     LaterCompletion,
 }
 
@@ -59,37 +61,38 @@
 }
 
 impl CrashTracker {
-    /// Creates the knowledge of an entry that has seen no crash.
+    /// Creates a tracker without crashes and completions.
     pub fn new() -> Self {
         let limits = QuarantineLimits {
             strikes: CRASH_LIMIT,
-            retention_ms: RETENTION_MS,
+            retention_ms: STRIKE_RETENTION_MS,
             max_strikes: MAX_STRIKES,
         };
         Self {
             quarantine: Quarantine::new(limits),
-            completed: FastMap::default(),
+            completed_ms_by_request: FastMap::default(),
             switch: Switch::new(),
         }
     }
 
-    /// Switches one mechanism off.
+    /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, sabotage: CrashSabotage) {
         self.switch.turn_off(sabotage);
     }
 
-    /// Tells whether nothing is held against any request, so that none needs its digest.
+    /// Returns whether no strikes are held, so that no request needs its digest computed.
     pub fn is_empty(&self) -> bool {
         self.quarantine.is_empty()
     }
 
-    /// Tells whether a request must not run because it crashed too many upstreams.
+    /// Returns whether a request must not run because too many upstreams crashed while running it.
     pub fn is_refused(&self, fingerprint: Digest, now_ms: u64) -> bool {
         self.quarantine.admit(fingerprint, now_ms) == Admission::Refused
     }
 
-    /// Notes that the run `upstream` crashed while it ran a request; returns whether that counts.
+    /// Records that the upstream incarnation `upstream` crashed while running a request; returns
+    /// whether the crash counts against the request.
     pub fn on_crash(
         &mut self,
         upstream: Incarnation,
@@ -97,46 +100,46 @@
         request: RequestHash,
         now_ms: u64,
     ) -> bool {
-        let completed_ms = self.completed.get(&request).copied();
-        let has_completed = completed_ms.is_some_and(|it| now_ms < it + COMPLETED_MS);
+        let completed_ms = self.completed_ms_by_request.get(&request).copied();
+        let has_completed = completed_ms.is_some_and(|it| now_ms < it + COMPLETION_RETENTION_MS);
         if has_completed && !self.switch.is_off(CrashSabotage::EarlierCompletion) {
             return false;
         }
-        // A run of an upstream crashes once.
+        // An incarnation of an upstream crashes only once.
         !self.quarantine.on_crash(upstream, 1, &[fingerprint], now_ms).is_empty()
     }
 
-    /// Notes that a request completed; `fingerprint` is only needed while strikes are held.
+    /// Records that a request completed; `fingerprint` is only called while strikes are held.
     pub fn on_complete(
         &mut self,
         request: RequestHash,
         fingerprint: impl FnOnce() -> Digest,
         now_ms: u64,
     ) {
-        if self.completed.len() >= MAX_COMPLETED {
-            self.completed.retain(|_, it| now_ms < *it + COMPLETED_MS);
+        if self.completed_ms_by_request.len() >= MAX_COMPLETIONS {
+            self.completed_ms_by_request.retain(|_, it| now_ms < *it + COMPLETION_RETENTION_MS);
         }
-        if self.completed.len() < MAX_COMPLETED {
-            self.completed.insert(request, now_ms);
+        if self.completed_ms_by_request.len() < MAX_COMPLETIONS {
+            self.completed_ms_by_request.insert(request, now_ms);
         }
         if !self.is_empty() && !self.switch.is_off(CrashSabotage::LaterCompletion) {
             self.quarantine.on_complete(fingerprint());
         }
     }
 
-    /// Takes in strikes that another entry passed on.
+    /// Merges strikes received from another entry.
     pub fn merge(&mut self, strikes: &[Strike], now_ms: u64) {
         if !self.switch.is_off(CrashSabotage::Merge) {
             self.quarantine.merge(strikes, now_ms);
         }
     }
 
-    /// Returns the strikes to pass on to other entries.
+    /// Returns the strikes to send to other entries, newest first.
     pub fn recent_strikes(&self, now_ms: u64) -> Vec<Strike> {
         self.quarantine.recent_strikes(now_ms)
     }
 
-    /// Forgets what no longer counts.
+    /// Removes expired strikes.
     pub fn expire(&mut self, now_ms: u64) {
         self.quarantine.expire(now_ms);
     }
--- a/crates/core/src/quarantine/registry.rs
+++ b/crates/core/src/quarantine/registry.rs
@@ -1,4 +1,4 @@
-//! Registry of strikes, merged from all processes, and the admission decision.
+//! Registry of the strikes merged from all processes, and the admission decision.
 
 use std::collections::BTreeMap;
 
@@ -9,23 +9,23 @@
     sabotage::{Mechanisms, Sabotage},
 };
 
-/// Largest number of strikes in one message.
-const MAX_PASSED_STRIKES: usize = 64;
+/// Maximum number of strikes in one message.
+const MAX_STRIKES_PER_MESSAGE: usize = 64;
 
-/// Part of the retention period for which strikes are passed on.
+/// Divisor of the retention period that gives the period during which strikes are propagated.
 ///
-/// Strikes are held twice as long as they are passed on, so that an expired strike does not come
-/// back from a peer that learned it later.
-const PASSED_RETENTION_DIVISOR: u64 = 2;
+/// Strikes are held twice as long as they are propagated, so that an expired strike is not received
+/// again from a peer that learned it later.
+const GOSSIP_RETENTION_DIVISOR: u64 = 2;
 
-/// Bounds of a [`Quarantine`].
+/// Limits of a [`Quarantine`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct QuarantineLimits {
-    /// Strikes after which a request is refused.
+    /// Number of strikes from which on a request is refused.
     pub strikes: u32,
     /// Time for which a strike counts, in milliseconds.
     pub retention_ms: u64,
-    /// Largest number of strikes held; beyond it the oldest are forgotten first.
+    /// Maximum number of strikes held; above it the oldest are evicted first.
     pub max_strikes: usize,
 }
 
@@ -34,33 +34,34 @@
 pub enum Admission {
     /// The request may share an upstream with others.
     Normal,
-    /// The request is a suspect and needs an upstream to itself.
+    /// The request is a suspect and must be the only one running at its upstream.
     Exclusive,
-    /// The request is condemned and must not run.
+    /// The request is quarantined and must not run.
     Refused,
 }
 
 /// Strikes against requests, as known to one process.
 ///
-/// The strikes of all processes form a set that only grows until they expire: merging is idempotent,
-/// commutative and associative, and a cleared strike stays cleared.
+/// The strikes of all processes form a set that only grows until they expire: merging is
+/// idempotent, commutative and associative, and a cleared strike stays cleared.
 #[derive(Clone, Debug)]
 pub struct Quarantine {
     limits: QuarantineLimits,
-    strikes: FastMap<Digest, BTreeMap<StopId, HeldStrike>>,
+    strikes: FastMap<Digest, BTreeMap<CrashId, StoredStrike>>,
+    /// Total number of strikes, including cleared ones.
     held: usize,
     mechanisms: Mechanisms,
 }
 
-/// Names one stop of one upstream.
+/// Identifies one crash of one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-struct StopId {
+struct CrashId {
     agent: Incarnation,
     number: u32,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct HeldStrike {
+struct StoredStrike {
     alone: bool,
     cleared: bool,
     expires_ms: u64,
@@ -72,20 +73,21 @@
         Self { limits, strikes: FastMap::default(), held: 0, mechanisms: Mechanisms::default() }
     }
 
-    /// Creates a registry with one safety mechanism switched off.
+    /// Creates a registry with one safety mechanism disabled.
     #[cfg(feature = "sabotage")]
     pub fn with_sabotage(limits: QuarantineLimits, sabotage: Sabotage) -> Self {
         Self { mechanisms: Mechanisms::without(sabotage), ..Self::new(limits) }
     }
 
-    /// Takes over a changed number of strikes after which a request is refused.
+    /// Changes the number of strikes from which on a request is refused.
     pub fn set_strike_limit(&mut self, strikes: u32) {
         self.limits.strikes = strikes;
     }
 
     /// Decides how a request may run.
     ///
-    /// Entries ask when they choose an upstream, and agents ask again straight before dispatch.
+    /// Entries call this when they choose an upstream, and agents again immediately before
+    /// dispatch.
     pub fn admit(&self, fingerprint: Digest, now_ms: u64) -> Admission {
         let mut strikes = 0;
         let mut ran_alone = false;
@@ -107,11 +109,11 @@
         Admission::Normal
     }
 
-    /// Decides at an agent about a submit, whose entry passed on `strikes` against the request.
+    /// Decides at an agent about a submit that carries the `strikes` which the entry knows.
     ///
-    /// Returns `None` when the agent knows strikes and the entry passed on none. The entry then took
-    /// the request for a normal one and may have chosen any upstream, so the agent refuses the submit
-    /// as not run, and the entry chooses again once it has the strikes.
+    /// Returns `None` if the agent knows strikes and the entry sent none. The entry then treated
+    /// the request as normal and may have chosen any upstream, so the agent refuses the submit as
+    /// not run, and the entry chooses again once it has received the strikes.
     pub fn admit_submit(
         &mut self,
         fingerprint: Digest,
@@ -120,14 +122,15 @@
     ) -> Option<Admission> {
         self.merge(strikes, now_ms);
         let admission = self.admit(fingerprint, now_ms);
-        let is_unaware = admission == Admission::Exclusive && strikes.is_empty();
-        (!is_unaware || !self.mechanisms.has(Sabotage::RefuseUnawareSubmit)).then_some(admission)
+        let is_entry_unaware = admission == Admission::Exclusive && strikes.is_empty();
+        (!is_entry_unaware || !self.mechanisms.has(Sabotage::RefuseUnawareSubmit))
+            .then_some(admission)
     }
 
-    /// Records that the upstream of the agent run `agent` stopped for the `number`th time.
+    /// Records that the upstream of the agent incarnation `agent` crashed for the `number`th time.
     ///
-    /// `in_progress` names every request that the upstream had been handed and that had not ended,
-    /// also those cancelled without the upstream's confirmation. Returns the new strikes.
+    /// `in_progress` lists every request that was sent to the upstream and had not ended, including
+    /// requests cancelled without confirmation by the upstream. Returns the new strikes.
     pub fn on_crash(
         &mut self,
         agent: Incarnation,
@@ -149,7 +152,7 @@
         strikes
     }
 
-    /// Clears a request that an upstream answered completely.
+    /// Clears the strikes of a request that an upstream completed.
     pub fn on_complete(&mut self, fingerprint: Digest) {
         if !self.mechanisms.has(Sabotage::ClearCompleted) {
             return;
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Takes in the strikes that a peer passed on.
+    /// Merges the strikes received from a peer.
     pub fn merge(&mut self, strikes: &[Strike], now_ms: u64) {
         if !self.mechanisms.has(Sabotage::MergeStrikes) {
             return;
@@ -170,37 +173,37 @@
         }
     }
 
-    /// Returns the strikes that make a request a suspect; a submit carries them to the agent.
+    /// Returns the strikes that count against a request, to be sent to the agent with its submit.
     pub fn strikes_against(&self, fingerprint: Digest, now_ms: u64) -> Vec<Strike> {
         let mut strikes = Vec::new();
         let Some(held) = self.strikes.get(&fingerprint) else { return strikes };
-        for (&stop, strike) in held {
+        for (&crash, strike) in held {
             if strike.cleared || strike.expires_ms <= now_ms {
                 continue;
             }
-            strikes.push(self.to_strike(fingerprint, stop, strike, now_ms));
+            strikes.push(self.to_strike(fingerprint, crash, strike, now_ms));
         }
         strikes
     }
 
-    /// Returns the strikes to pass on to peers, the newest first.
+    /// Returns the strikes to propagate to peers, newest first.
     pub fn recent_strikes(&self, now_ms: u64) -> Vec<Strike> {
-        let max_age_ms = self.limits.retention_ms / PASSED_RETENTION_DIVISOR;
+        let max_age_ms = self.limits.retention_ms / GOSSIP_RETENTION_DIVISOR;
         let mut recent = Vec::new();
         for (&fingerprint, held) in &self.strikes {
-            for (&stop, strike) in held {
-                let strike = self.to_strike(fingerprint, stop, strike, now_ms);
+            for (&crash, strike) in held {
+                let strike = self.to_strike(fingerprint, crash, strike, now_ms);
                 if strike.age_ms < max_age_ms {
                     recent.push(strike);
                 }
             }
         }
         recent.sort_by_key(|it| (it.age_ms, it.fingerprint, it.agent, it.number));
-        recent.truncate(MAX_PASSED_STRIKES);
+        recent.truncate(MAX_STRIKES_PER_MESSAGE);
         recent
     }
 
-    /// Removes the strikes that no longer count because of their age.
+    /// Removes expired strikes.
     pub fn expire(&mut self, now_ms: u64) {
         for held in self.strikes.values_mut() {
             held.retain(|_, it| it.expires_ms > now_ms);
@@ -209,12 +212,12 @@
         self.held = self.strikes.values().map(BTreeMap::len).sum();
     }
 
-    /// Returns the number of strikes held, cleared ones included.
+    /// Returns the number of strikes held, including cleared ones.
     pub fn len(&self) -> usize {
         self.held
     }
 
-    /// Tells whether no strikes are held.
+    /// Returns whether no strikes are held.
     pub fn is_empty(&self) -> bool {
         self.held == 0
     }
@@ -222,12 +225,12 @@
     fn to_strike(
         &self,
         fingerprint: Digest,
-        stop: StopId,
-        held: &HeldStrike,
+        crash: CrashId,
+        held: &StoredStrike,
         now_ms: u64,
     ) -> Strike {
-        let StopId { agent, number } = stop;
-        let &HeldStrike { alone, cleared, expires_ms } = held;
+        let CrashId { agent, number } = crash;
+        let &StoredStrike { alone, cleared, expires_ms } = held;
         let remaining_ms = expires_ms.saturating_sub(now_ms);
         let age_ms = self.limits.retention_ms.saturating_sub(remaining_ms);
         Strike { fingerprint, agent, number, alone, cleared, age_ms }
@@ -238,43 +241,43 @@
         if remaining_ms == 0 {
             return;
         }
-        let stop = StopId { agent: strike.agent, number: strike.number };
+        let crash = CrashId { agent: strike.agent, number: strike.number };
         let expires_ms = now_ms.saturating_add(remaining_ms);
         let held = self.strikes.entry(strike.fingerprint).or_default();
-        if let Some(known) = held.get_mut(&stop) {
+        if let Some(known) = held.get_mut(&crash) {
             known.alone &= strike.alone;
             known.cleared |= strike.cleared;
             known.expires_ms = known.expires_ms.min(expires_ms);
             return;
         }
         let Strike { alone, cleared, .. } = strike;
-        held.insert(stop, HeldStrike { alone, cleared, expires_ms });
+        held.insert(crash, StoredStrike { alone, cleared, expires_ms });
         self.held += 1;
         if self.held > self.limits.max_strikes {
             self.expire(now_ms);
-            self.forget_oldest();
+            self.evict_oldest();
         }
     }
 
-    fn forget_oldest(&mut self) {
+    fn evict_oldest(&mut self) {
         while self.held > self.limits.max_strikes {
-            let mut oldest: Option<(u64, Digest, StopId)> = None;
+            let mut oldest: Option<(u64, Digest, CrashId)> = None;
             for (&fingerprint, held) in &self.strikes {
-                for (&stop, strike) in held {
-                    let candidate = (strike.expires_ms, fingerprint, stop);
+                for (&crash, strike) in held {
+                    let candidate = (strike.expires_ms, fingerprint, crash);
                     if oldest.is_none_or(|it| candidate < it) {
                         oldest = Some(candidate);
                     }
                 }
             }
-            let Some((_, fingerprint, stop)) = oldest else { return };
-            self.remove(fingerprint, stop);
+            let Some((_, fingerprint, crash)) = oldest else { return };
+            self.remove(fingerprint, crash);
         }
     }
 
-    fn remove(&mut self, fingerprint: Digest, stop: StopId) {
+    fn remove(&mut self, fingerprint: Digest, crash: CrashId) {
         let Some(held) = self.strikes.get_mut(&fingerprint) else { return };
-        if held.remove(&stop).is_some() {
+        if held.remove(&crash).is_some() {
             self.held -= 1;
         }
         if held.is_empty() {
--- a/crates/core/src/quarantine/suspects.rs
+++ b/crates/core/src/quarantine/suspects.rs
@@ -1,4 +1,5 @@
-//! Keeps copies of a suspect apart: one at a time at an entry, and one upstream for all entries.
+//! Serialization of the copies of a suspect: one at a time at an entry, at one upstream for all
+//! entries.
 
 use crate::{
     FastMap,
@@ -6,7 +7,7 @@
     quarantine::Admission,
 };
 
-/// Counts the requests in progress at one entry by fingerprint.
+/// Number of requests in progress at one entry, by fingerprint.
 #[derive(Clone, Debug, Default)]
 pub struct SuspectTracker {
     in_progress: FastMap<Digest, u32>,
@@ -21,7 +22,7 @@
     /// Starts a request if its admission allows it now; returns whether it was started.
     ///
     /// A suspect is not started while another copy of it is in progress at this entry; the caller
-    /// waits or refuses it as not run with a time to retry. A condemned request is never started.
+    /// waits or refuses it as not run with a retry delay. A quarantined request is never started.
     /// Every started request has to be ended with [`finish`](Self::finish).
     #[must_use]
     pub fn start(&mut self, fingerprint: Digest, admission: Admission) -> bool {
@@ -50,11 +51,12 @@
     }
 }
 
-/// Chooses the upstream on which a suspect runs alone.
+/// Chooses the upstream at which a suspect runs exclusively, by rendezvous hashing.
 ///
-/// Every entry that passes the same candidates in any order gets the same answer, so that copies of
-/// a suspect sent through different entries meet at one agent. Candidates are the agent runs of the
-/// pool, also those whose upstream is busy; returns `None` when there are none.
+/// Every entry that passes the same candidates in any order gets the same result, so that copies of
+/// a suspect sent by different entries arrive at the same agent. Candidates are the agent
+/// incarnations of the pool, including those whose upstream is busy; returns `None` if there are
+/// none.
 pub fn exclusive_upstream(fingerprint: Digest, candidates: &[Incarnation]) -> Option<Incarnation> {
     let mut best: Option<(Digest, Incarnation)> = None;
     for &candidate in candidates {
--- a/crates/core/src/quarantine/tests.rs
+++ b/crates/core/src/quarantine/tests.rs
@@ -1,4 +1,4 @@
-//! Unit tests of the quarantine slice.
+//! Unit tests of the quarantine module.
 
 use super::*;
 use crate::ids::{Digest, Incarnation};
@@ -13,21 +13,21 @@
 }
 
 #[test]
-fn two_stops_with_one_alone_condemn() {
-    let (poison, innocent) = (fingerprint(1), fingerprint(2));
+fn request_with_two_strikes_and_alone_in_one_of_them_is_refused() {
+    let (crashing, innocent) = (fingerprint(1), fingerprint(2));
     let mut quarantine = Quarantine::new(LIMITS);
-    assert_eq!(quarantine.admit(poison, 0), Admission::Normal);
-    assert_eq!(quarantine.on_crash(A, 1, &[poison, innocent], 0).len(), 2);
-    assert_eq!(quarantine.admit(poison, 1), Admission::Exclusive);
+    assert_eq!(quarantine.admit(crashing, 0), Admission::Normal);
+    assert_eq!(quarantine.on_crash(A, 1, &[crashing, innocent], 0).len(), 2);
+    assert_eq!(quarantine.admit(crashing, 1), Admission::Exclusive);
     assert_eq!(quarantine.admit(innocent, 1), Admission::Exclusive);
     quarantine.on_complete(innocent);
-    quarantine.on_crash(B, 1, &[poison], 2);
-    assert_eq!(quarantine.admit(poison, 3), Admission::Refused);
+    quarantine.on_crash(B, 1, &[crashing], 2);
+    assert_eq!(quarantine.admit(crashing, 3), Admission::Refused);
     assert_eq!(quarantine.admit(innocent, 3), Admission::Normal);
 }
 
 #[test]
-fn sharing_upstreams_never_condemns() {
+fn request_that_only_shared_crashed_upstreams_is_never_refused() {
     let innocent = fingerprint(9);
     let mut quarantine = Quarantine::new(LIMITS);
     for number in 0..3 {
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn copies_of_one_request_count_as_alone() {
+fn copies_of_one_request_get_one_strike_and_count_as_alone() {
     let mut quarantine = Quarantine::new(LIMITS);
     let strikes = quarantine.on_crash(A, 1, &[fingerprint(1), fingerprint(1)], 0);
     assert_eq!(strikes.len(), 1);
@@ -45,38 +45,38 @@
 }
 
 #[test]
-fn merging_is_idempotent_and_keeps_clearances() {
-    let poison = fingerprint(1);
-    let mut here = Quarantine::new(LIMITS);
-    let mut there = Quarantine::new(LIMITS);
-    let strikes = here.on_crash(A, 1, &[poison], 0);
-    there.merge(&strikes, 0);
-    there.merge(&strikes, 5);
-    assert_eq!((there.len(), there.admit(poison, 5)), (1, Admission::Exclusive));
-    there.on_complete(poison);
-    here.merge(&there.recent_strikes(6), 6);
-    there.merge(&strikes, 7);
-    assert_eq!(here.admit(poison, 7), Admission::Normal);
-    assert_eq!(there.admit(poison, 7), Admission::Normal);
+fn merging_is_idempotent_and_keeps_cleared_strikes_cleared() {
+    let crashing = fingerprint(1);
+    let mut local = Quarantine::new(LIMITS);
+    let mut peer = Quarantine::new(LIMITS);
+    let strikes = local.on_crash(A, 1, &[crashing], 0);
+    peer.merge(&strikes, 0);
+    peer.merge(&strikes, 5);
+    assert_eq!((peer.len(), peer.admit(crashing, 5)), (1, Admission::Exclusive));
+    peer.on_complete(crashing);
+    local.merge(&peer.recent_strikes(6), 6);
+    peer.merge(&strikes, 7);
+    assert_eq!(local.admit(crashing, 7), Admission::Normal);
+    assert_eq!(peer.admit(crashing, 7), Admission::Normal);
 }
 
 #[test]
-fn strikes_expire_and_do_not_come_back() {
-    let poison = fingerprint(1);
-    let mut here = Quarantine::new(LIMITS);
-    let mut there = Quarantine::new(LIMITS);
-    here.on_crash(A, 1, &[poison], 0);
-    there.merge(&here.recent_strikes(499), 499);
-    assert_eq!(here.recent_strikes(500), Vec::new());
-    assert_eq!(there.recent_strikes(500), Vec::new());
-    assert_eq!(there.admit(poison, 999), Admission::Exclusive);
-    assert_eq!(there.admit(poison, 1000), Admission::Normal);
-    there.expire(1000);
-    assert!(there.is_empty());
+fn expired_strikes_are_not_received_again_from_peers() {
+    let crashing = fingerprint(1);
+    let mut local = Quarantine::new(LIMITS);
+    let mut peer = Quarantine::new(LIMITS);
+    local.on_crash(A, 1, &[crashing], 0);
+    peer.merge(&local.recent_strikes(499), 499);
+    assert_eq!(local.recent_strikes(500), Vec::new());
+    assert_eq!(peer.recent_strikes(500), Vec::new());
+    assert_eq!(peer.admit(crashing, 999), Admission::Exclusive);
+    assert_eq!(peer.admit(crashing, 1000), Admission::Normal);
+    peer.expire(1000);
+    assert!(peer.is_empty());
 }
 
 #[test]
-fn the_oldest_strikes_are_forgotten_first() {
+fn oldest_strikes_are_evicted_first_above_the_limit() {
     let mut quarantine = Quarantine::new(LIMITS);
     for byte in 0..6 {
         quarantine.on_crash(A, u32::from(byte), &[fingerprint(byte)], u64::from(byte));
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn a_suspect_runs_one_copy_at_a_time() {
+fn suspect_starts_only_while_no_other_copy_is_in_progress() {
     let mut tracker = SuspectTracker::new();
     let request = fingerprint(1);
     assert!(tracker.start(request, Admission::Normal));
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn entries_agree_on_the_upstream_of_a_suspect() {
+fn order_of_candidates_does_not_change_the_upstream_of_a_suspect() {
     let request = fingerprint(1);
     let chosen = exclusive_upstream(request, &[A, B]);
     assert!(chosen.is_some());
--- a/crates/core/tests/crashes_fuzz.rs
+++ b/crates/core/tests/crashes_fuzz.rs
@@ -1,8 +1,9 @@
-//! Fuzz of crash watches at several entries: a request that crashes its upstreams is stopped, and no
-//! other one is.
+//! Property test of the crash trackers of several entries: requests that crash their upstreams are
+//! refused, and no others are.
 //!
-//! The oracle keeps, for each entry and request, the crashes that the entry has seen or been told of
-//! and those that a completion has settled. A request is refused exactly if enough are left.
+//! For each entry and request the oracle records the crashes that the entry has seen or received,
+//! and those that a completion has cleared. A request must be refused exactly if the number of
+//! uncleared crashes has reached the limit.
 
 mod harness;
 
@@ -19,34 +20,34 @@
 const ENTRIES: usize = 4;
 const UPSTREAMS: usize = 4;
 const REQUESTS: usize = 5;
-/// The first requests crash every upstream that runs them.
-const POISONOUS: usize = 2;
+/// Requests with a smaller number crash every upstream that runs them.
+const CRASHING: usize = 2;
 
 steps! {
     12 Send { request: usize = 0..REQUESTS, entry: usize = 0..ENTRIES, upstream: usize = 0..UPSTREAMS }
     4 Complete { upstream: usize = 0..UPSTREAMS }
     2 Crash { upstream: usize = 0..UPSTREAMS }
-    8 Tell { from: usize = 0..ENTRIES, to: usize = 0..ENTRIES }
+    8 Gossip { from: usize = 0..ENTRIES, to: usize = 0..ENTRIES }
     2 Advance { ms: u64 = 1..300_u64 }
 }
 
-/// What the oracle knows that an entry knows of a request.
+/// State of a request that an entry is expected to have.
 #[derive(Clone, Default)]
-struct Known {
+struct ExpectedState {
     crashes: BTreeSet<u64>,
-    settled: BTreeSet<u64>,
+    cleared: BTreeSet<u64>,
     has_completed: bool,
 }
 
-impl Known {
+impl ExpectedState {
     fn is_refused(&self) -> bool {
-        self.crashes.difference(&self.settled).count() >= CRASH_LIMIT as usize
+        self.crashes.difference(&self.cleared).count() >= CRASH_LIMIT as usize
     }
 }
 
 struct Entry {
-    watch: CrashTracker,
-    known: [Known; REQUESTS],
+    tracker: CrashTracker,
+    expected: [ExpectedState; REQUESTS],
 }
 
 struct Upstream {
@@ -72,14 +73,18 @@
 
 impl Crashes {
     fn send(&mut self, request: usize, entry: usize, upstream: usize) {
-        let Entry { watch, known } = &self.entries[entry];
-        let is_refused = watch.is_refused(digest(request), self.now_ms);
-        assert_eq!(is_refused, known[request].is_refused(), "request {request} at entry {entry}");
+        let Entry { tracker, expected } = &self.entries[entry];
+        let is_refused = tracker.is_refused(digest(request), self.now_ms);
+        assert_eq!(
+            is_refused,
+            expected[request].is_refused(),
+            "request {request} at entry {entry}"
+        );
         if is_refused {
             return;
         }
         self.upstreams[upstream].calls.push((entry, request));
-        if request < POISONOUS {
+        if request < CRASHING {
             self.crash(upstream);
         }
     }
@@ -87,10 +92,10 @@
     fn crash(&mut self, upstream: usize) {
         let run = self.upstreams[upstream].run;
         for (entry, request) in std::mem::take(&mut self.upstreams[upstream].calls) {
-            let Entry { watch, known } = &mut self.entries[entry];
-            watch.on_crash(Incarnation(run), digest(request), hash(request), self.now_ms);
-            if !known[request].has_completed {
-                known[request].crashes.insert(run);
+            let Entry { tracker, expected } = &mut self.entries[entry];
+            tracker.on_crash(Incarnation(run), digest(request), hash(request), self.now_ms);
+            if !expected[request].has_completed {
+                expected[request].crashes.insert(run);
             }
         }
         self.upstreams[upstream].run = self.next_run;
@@ -99,21 +104,21 @@
 
     fn complete(&mut self, upstream: usize) {
         let Some((entry, request)) = self.upstreams[upstream].calls.pop() else { return };
-        let Entry { watch, known } = &mut self.entries[entry];
-        watch.on_complete(hash(request), || digest(request), self.now_ms);
-        let known = &mut known[request];
-        known.has_completed = true;
-        known.settled.extend(&known.crashes);
+        let Entry { tracker, expected } = &mut self.entries[entry];
+        tracker.on_complete(hash(request), || digest(request), self.now_ms);
+        let expected = &mut expected[request];
+        expected.has_completed = true;
+        expected.cleared.extend(&expected.crashes);
     }
 
-    fn tell(&mut self, from: usize, to: usize) {
-        let strikes = self.entries[from].watch.recent_strikes(self.now_ms);
-        let told = self.entries[from].known.clone();
-        let Entry { watch, known } = &mut self.entries[to];
-        watch.merge(&strikes, self.now_ms);
-        for (known, told) in known.iter_mut().zip(told) {
-            known.crashes.extend(told.crashes);
-            known.settled.extend(told.settled);
+    fn gossip(&mut self, from: usize, to: usize) {
+        let strikes = self.entries[from].tracker.recent_strikes(self.now_ms);
+        let received = self.entries[from].expected.clone();
+        let Entry { tracker, expected } = &mut self.entries[to];
+        tracker.merge(&strikes, self.now_ms);
+        for (expected, received) in expected.iter_mut().zip(received) {
+            expected.crashes.extend(received.crashes);
+            expected.cleared.extend(received.cleared);
         }
     }
 }
@@ -125,9 +130,9 @@
     fn new(off: Option<CrashSabotage>) -> Self {
         let mut entries = Vec::new();
         for _ in 0..ENTRIES {
-            let mut watch = CrashTracker::new();
-            harness::sabotage!(watch, off);
-            entries.push(Entry { watch, known: Default::default() });
+            let mut tracker = CrashTracker::new();
+            harness::sabotage!(tracker, off);
+            entries.push(Entry { tracker, expected: Default::default() });
         }
         let upstreams =
             (0..UPSTREAMS as u64).map(|run| Upstream { run, calls: Vec::new() }).collect();
@@ -143,26 +148,27 @@
             Step::Send { request, entry, upstream } => self.send(request, entry, upstream),
             Step::Complete { upstream } => self.complete(upstream),
             Step::Crash { upstream } => self.crash(upstream),
-            Step::Tell { from, to } => self.tell(from, to),
+            Step::Gossip { from, to } => self.gossip(from, to),
             Step::Advance { ms } => self.now_ms += ms,
         }
     }
 
     fn check(&self) {}
 
-    /// Once all entries have told each other, what crashed enough upstreams runs nowhere any more.
+    /// After all entries have exchanged their strikes, a request that crashed enough upstreams is
+    /// refused by every entry.
     fn finish(mut self) {
         for _ in 0..2 {
             for from in 0..ENTRIES {
                 for to in 0..ENTRIES {
-                    self.tell(from, to);
+                    self.gossip(from, to);
                 }
             }
         }
-        for request in 0..POISONOUS {
-            let crashes = self.entries[0].known[request].crashes.len();
+        for request in 0..CRASHING {
+            let crashes = self.entries[0].expected[request].crashes.len();
             for entry in &self.entries {
-                let is_refused = entry.watch.is_refused(digest(request), self.now_ms);
+                let is_refused = entry.tracker.is_refused(digest(request), self.now_ms);
                 assert_eq!(is_refused, crashes >= CRASH_LIMIT as usize);
             }
         }
@@ -170,13 +176,13 @@
 }
 
 #[test]
-fn what_crashes_upstreams_is_stopped_and_nothing_else() {
+fn exactly_the_requests_with_too_many_uncleared_crashes_are_refused() {
     assert_holds::<Crashes>(RUN);
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn each_mechanism_is_needed() {
+fn each_disabled_mechanism_is_detected() {
     use CrashSabotage::{EarlierCompletion, LaterCompletion, Merge};
 
     for off in [Merge, EarlierCompletion, LaterCompletion] {
--- a/crates/core/tests/quarantine_fuzz.rs
+++ b/crates/core/tests/quarantine_fuzz.rs
@@ -1,4 +1,5 @@
-//! Fuzz of the quarantine: lost upstreams are bounded and no innocent request is refused.
+//! Property test of the quarantine: the number of crashed upstreams is bounded and no innocent
+//! request is refused.
 
 mod fuzz_support;
 
@@ -20,7 +21,8 @@
 const AGENTS: usize = 3;
 const PROCESSES: usize = ENTRIES + AGENTS;
 const REQUESTS: u8 = 5;
-const POISONOUS: u8 = 2;
+/// Requests with a smaller number never complete, and only crashes end them.
+const CRASHING: u8 = 2;
 const MAX_STEPS: usize = 80;
 const CASES: u32 = 1500;
 
@@ -28,7 +30,7 @@
 enum Step {
     Send { request: u8, entry: usize, agent: usize },
     Complete { agent: usize, index: usize },
-    Stop { agent: usize },
+    Crash { agent: usize },
     Gossip { from: usize, to: usize },
     Advance { ms: u64 },
 }
@@ -48,7 +50,7 @@
             6 => (0..REQUESTS, 0..ENTRIES, 0..AGENTS)
                 .prop_map(|(request, entry, agent)| Step::Send { request, entry, agent }),
             3 => (0..AGENTS, 0..4usize).prop_map(|(agent, index)| Step::Complete { agent, index }),
-            2 => (0..AGENTS).prop_map(|agent| Step::Stop { agent }),
+            2 => (0..AGENTS).prop_map(|agent| Step::Crash { agent }),
             2 => (0..PROCESSES, 0..PROCESSES).prop_map(|(from, to)| Step::Gossip { from, to }),
             1 => (0..1000u64).prop_map(|ms| Step::Advance { ms }),
         ]
@@ -62,23 +64,24 @@
 struct Running {
     request: u8,
     entry: usize,
-    alone: bool,
+    exclusive: bool,
 }
 
-/// Entries come first among the processes, agents after them.
+/// State of all processes and upstreams; entries precede agents in the lists of processes.
 struct World {
     processes: Vec<Quarantine>,
     trackers: Vec<SuspectTracker>,
     upstreams: Vec<Vec<Running>>,
-    stops: [u32; AGENTS],
+    crashes: [u32; AGENTS],
     now_ms: u64,
-    /// Requests that each process has been told of, as the oracle sees it.
-    told: Vec<BTreeSet<u8>>,
-    /// Copies of each request dispatched by processes that had not been told of it.
-    untold: BTreeMap<u8, u32>,
-    lost: BTreeMap<u8, u32>,
-    /// Innocent requests that ran alone when an upstream stopped by itself.
-    unlucky: BTreeSet<u8>,
+    /// Suspects that each process has been informed of, according to the oracle.
+    informed: Vec<BTreeSet<u8>>,
+    /// Number of copies of each request dispatched while neither entry nor agent was informed of
+    /// it.
+    uninformed_dispatches: BTreeMap<u8, u32>,
+    crashed: BTreeMap<u8, u32>,
+    /// Requests that were the only ones in progress at a crash, so that they may be refused.
+    alone_at_crash: BTreeSet<u8>,
 }
 
 fn fingerprint(request: u8) -> Digest {
@@ -96,12 +99,12 @@
             processes: vec![quarantine; PROCESSES],
             trackers: vec![SuspectTracker::new(); ENTRIES],
             upstreams: vec![Vec::new(); AGENTS],
-            stops: [0; AGENTS],
+            crashes: [0; AGENTS],
             now_ms: 0,
-            told: vec![BTreeSet::new(); PROCESSES],
-            untold: BTreeMap::new(),
-            lost: BTreeMap::new(),
-            unlucky: BTreeSet::new(),
+            informed: vec![BTreeSet::new(); PROCESSES],
+            uninformed_dispatches: BTreeMap::new(),
+            crashed: BTreeMap::new(),
+            alone_at_crash: BTreeSet::new(),
         }
     }
 
@@ -109,7 +112,7 @@
         match *step {
             Step::Send { request, entry, agent } => self.send(request, entry, agent),
             Step::Complete { agent, index } => self.complete(agent, index),
-            Step::Stop { agent } => self.stop(agent),
+            Step::Crash { agent } => self.crash(agent),
             Step::Gossip { from, to } => {
                 self.gossip(from, to);
                 Ok(())
@@ -134,25 +137,27 @@
             Some(run) if at_entry == Admission::Exclusive => run.0 as usize,
             _ => agent,
         };
-        let told = [entry, ENTRIES + agent].iter().any(|&it| self.told[it].contains(&request));
+        let informed =
+            [entry, ENTRIES + agent].iter().any(|&it| self.informed[it].contains(&request));
         if at_entry == Admission::Exclusive {
-            self.tell(ENTRIES + agent, request);
+            self.inform(ENTRIES + agent, request);
         }
         let process = &mut self.processes[ENTRIES + agent];
         let admission = process.admit_submit(fingerprint(request), &strikes, self.now_ms);
         if let Some(admission) = admission {
             self.check_refusal(request, admission)?;
         }
-        let alone = admission == Some(Admission::Exclusive);
+        let exclusive = admission == Some(Admission::Exclusive);
         let upstream = &mut self.upstreams[agent];
-        let is_free = if alone { upstream.is_empty() } else { !upstream.iter().any(|it| it.alone) };
+        let is_free =
+            if exclusive { upstream.is_empty() } else { !upstream.iter().any(|it| it.exclusive) };
         if matches!(admission, None | Some(Admission::Refused)) || !is_free {
             self.trackers[entry].finish(fingerprint(request));
             self.gossip(ENTRIES + agent, entry);
             return Ok(());
         }
-        upstream.push(Running { request, entry, alone });
-        *self.untold.entry(request).or_default() += u32::from(!told);
+        upstream.push(Running { request, entry, exclusive });
+        *self.uninformed_dispatches.entry(request).or_default() += u32::from(!informed);
         Ok(())
     }
 
@@ -160,7 +165,7 @@
         let Some(&Running { request, entry, .. }) = self.upstreams[agent].get(index) else {
             return Ok(());
         };
-        if request < POISONOUS {
+        if request < CRASHING {
             return Ok(());
         }
         self.upstreams[agent].remove(index);
@@ -169,65 +174,69 @@
         self.gossip(ENTRIES + agent, entry);
         let admission = self.processes[ENTRIES + agent].admit(fingerprint(request), self.now_ms);
         if admission != Admission::Normal {
-            return Err(format!("request {request} completed and is still {admission:?}"));
+            return Err(format!(
+                "request {request} completed but is still admitted as {admission:?}"
+            ));
         }
         Ok(())
     }
 
-    fn stop(&mut self, agent: usize) -> Result<(), String> {
+    fn crash(&mut self, agent: usize) -> Result<(), String> {
         let ended = std::mem::take(&mut self.upstreams[agent]);
         let requests: BTreeSet<u8> = ended.iter().map(|it| it.request).collect();
         let fingerprints: Vec<_> = ended.iter().map(|it| fingerprint(it.request)).collect();
-        self.stops[agent] += 1;
-        let number = self.stops[agent];
+        self.crashes[agent] += 1;
+        let number = self.crashes[agent];
         let process = &mut self.processes[ENTRIES + agent];
         process.on_crash(agent_run(agent), number, &fingerprints, self.now_ms);
         if requests.len() == 1 {
-            self.unlucky.extend(&requests);
+            self.alone_at_crash.extend(&requests);
         }
         for &request in &requests {
-            self.tell(ENTRIES + agent, request);
-            *self.lost.entry(request).or_default() += 1;
+            self.inform(ENTRIES + agent, request);
+            *self.crashed.entry(request).or_default() += 1;
         }
         for running in ended {
             self.trackers[running.entry].finish(fingerprint(running.request));
             self.gossip(ENTRIES + agent, running.entry);
         }
-        self.check_lost()
+        self.check_crashes()
     }
 
     fn gossip(&mut self, from: usize, to: usize) {
         let strikes = self.processes[from].recent_strikes(self.now_ms);
         self.processes[to].merge(&strikes, self.now_ms);
-        let told = self.told[from].clone();
-        self.told[to].extend(told);
+        let informed = self.informed[from].clone();
+        self.informed[to].extend(informed);
     }
 
-    fn tell(&mut self, process: usize, request: u8) {
-        self.told[process].insert(request);
+    fn inform(&mut self, process: usize, request: u8) {
+        self.informed[process].insert(request);
     }
 
     fn check_refusal(&self, request: u8, admission: Admission) -> Result<(), String> {
-        let is_innocent = request >= POISONOUS && !self.unlucky.contains(&request);
+        let is_innocent = request >= CRASHING && !self.alone_at_crash.contains(&request);
         if admission == Admission::Refused && is_innocent {
             return Err(format!("innocent request {request} was refused"));
         }
         Ok(())
     }
 
-    fn check_lost(&self) -> Result<(), String> {
-        for request in 0..POISONOUS {
-            let lost = self.lost.get(&request).copied().unwrap_or_default();
-            let bound = self.untold.get(&request).copied().unwrap_or_default() + 1;
-            if lost > bound {
-                return Err(format!("request {request} took {lost} upstreams, bound {bound}"));
+    fn check_crashes(&self) -> Result<(), String> {
+        for request in 0..CRASHING {
+            let crashed = self.crashed.get(&request).copied().unwrap_or_default();
+            let bound = self.uninformed_dispatches.get(&request).copied().unwrap_or_default() + 1;
+            if crashed > bound {
+                return Err(format!(
+                    "request {request} crashed {crashed} upstreams, more than {bound}"
+                ));
             }
         }
         Ok(())
     }
 }
 
-/// Strikes that reach a process in any order and any number of times.
+/// Strikes received by a process in any order and any number of times.
 struct Strikes;
 
 impl ReferenceStateMachine for Strikes {
@@ -268,14 +277,14 @@
 }
 
 #[test]
-fn merging_strikes_in_any_order_and_again_gives_the_same() {
+fn merging_strikes_in_any_order_or_repeatedly_gives_the_same_state() {
     fuzz_support::run::<Strikes>(CASES, MAX_STEPS, |strikes| {
         let expected = merged(strikes);
         let reversed: Vec<_> = strikes.iter().rev().copied().collect();
         let repeated = [strikes, &reversed].concat();
         for other in [reversed, repeated] {
             if merged(&other) != expected {
-                return Err(format!("{other:?} merged differently"));
+                return Err(format!("merging {other:?} gave a different state"));
             }
         }
         Ok(())
@@ -291,13 +300,13 @@
 }
 
 #[test]
-fn losses_are_bounded_and_no_innocent_request_is_refused() {
+fn crashed_upstreams_are_bounded_and_no_innocent_request_is_refused() {
     fuzz(None).unwrap();
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn missing_mechanisms_are_noticed() {
+fn each_disabled_mechanism_is_detected() {
     for sabotage in [
         Sabotage::CondemnOnlyAlone,
         Sabotage::RunSuspectsAlone,
