--- a/crates/core/src/ownership/tests.rs
+++ b/crates/core/src/ownership/tests.rs
@@ -29,7 +29,7 @@
     let mut views: Vec<EntryView> = all.iter().cloned().map(EntryView::new).collect();
     for view in &mut views {
         for other in all {
-            view.list(other.clone());
+            view.add(other.clone());
         }
     }
     views
--- a/crates/core/src/ownership/view.rs
+++ b/crates/core/src/ownership/view.rs
@@ -81,7 +81,7 @@
     }
 
     /// Notes an entry, or its new processor share; what was heard of an earlier run is forgotten.
-    pub fn list(&mut self, entry: Candidate) {
+    pub fn add(&mut self, entry: Candidate) {
         if entry.name == self.own.name {
             return;
         }
@@ -91,7 +91,7 @@
     }
 
     /// Notes that an entry is gone.
-    pub fn unlist(&mut self, name: &str) {
+    pub fn remove(&mut self, name: &str) {
         if self.listed.remove(name).is_some() {
             self.forget_orders();
         }
--- a/crates/entry/src/relay/peers.rs
+++ b/crates/entry/src/relay/peers.rs
@@ -159,7 +159,7 @@
         }
         info!(entry = name, address:% = record.peer_address; "entry listed");
         let candidate = Candidate { name: name.to_owned(), cpu_share: record.cpu_share };
-        directory.view.list(candidate);
+        directory.view.add(candidate);
         directory.decided_with = None;
         let entry = Known { record, asking: None, peer: None, queues: FastMap::default() };
         if let Some(replaced) = directory.known.insert(name.to_owned(), entry) {
@@ -175,7 +175,7 @@
         let mut directory = lock(&self.directory);
         if let Some(removed) = directory.known.remove(name) {
             info!(entry = name; "entry no longer listed");
-            directory.view.unlist(name);
+            directory.view.remove(name);
             directory.decided_with = None;
             removed.close();
         }
