--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -1,6 +1,6 @@
-//! Health of one upstream: ejection after failures and careful return.
+//! Passive health check of one upstream: ejection with exponential backoff and return by a probe.
 
-/// Consecutive failures that eject an upstream.
+/// Number of consecutive failures after which an upstream is ejected.
 const EJECT_FAILURES: u32 = 3;
 
 /// Backoff after the first ejection, in milliseconds.
@@ -9,26 +9,26 @@
 /// Longest backoff, in milliseconds.
 const MAX_BACKOFF_MS: u64 = 30_000;
 
-/// Time for which an unanswered attempt at return keeps others from starting, in milliseconds.
+/// Time after which an unanswered probe no longer blocks the next one, in milliseconds.
 const PROBE_TIMEOUT_MS: u64 = 10_000;
 
-/// Latency, relative to the rest of the pool, that ejects an upstream.
+/// Latency relative to the pool's median above which an upstream is ejected.
 const EJECT_LATENCY_FACTOR: f64 = 3.0;
 
-/// Samples that the latency of an upstream rests on before it counts.
-const LATENCY_SAMPLES: u32 = 8;
+/// Number of samples from which the latency average of an upstream is used.
+const MIN_LATENCY_SAMPLES: u32 = 8;
 
-/// Weight of a new sample in the latency average.
+/// Weight of a new sample in the exponential moving average of the latency.
 const LATENCY_WEIGHT: f64 = 0.2;
 
-/// Whether an upstream may receive work as far as its health tells.
+/// Whether the health of an upstream allows it to receive attempts.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum HealthStatus {
-    /// It receives its part of the work.
+    /// It receives attempts without restriction.
     InService,
-    /// It was ejected and may receive one attempt, on which its return depends.
+    /// Its backoff after an ejection is over; one attempt, the probe, decides whether it returns.
     ProbeDue,
-    /// It was ejected and receives nothing.
+    /// It is ejected and in its backoff, or its probe is in progress.
     Ejected,
 }
 
@@ -39,7 +39,7 @@
     Probing { since_ms: u64 },
 }
 
-/// Health of one upstream.
+/// Failure and latency record of one upstream.
 #[derive(Clone, Debug)]
 pub struct Health {
     state: State,
@@ -50,7 +50,7 @@
 }
 
 impl Health {
-    /// Creates the health of an upstream without history.
+    /// Creates the record of an upstream that has received no attempts.
     pub fn new() -> Self {
         Self {
             state: State::InService,
@@ -61,7 +61,7 @@
         }
     }
 
-    /// Returns the health_status at `now_ms`.
+    /// Returns the status at `now_ms`.
     pub fn status(&self, now_ms: u64) -> HealthStatus {
         match self.state {
             State::InService => HealthStatus::InService,
@@ -74,50 +74,50 @@
         }
     }
 
-    /// Returns the average ratio of actual to expected duration, once it rests on enough samples.
-    pub fn latency_ratio(&self) -> Option<f64> {
-        (self.samples >= LATENCY_SAMPLES).then_some(self.ratio)
+    /// Returns the average ratio of actual to expected duration, or none while samples are too few.
+    pub fn mean_latency_ratio(&self) -> Option<f64> {
+        (self.samples >= MIN_LATENCY_SAMPLES).then_some(self.ratio)
     }
 
-    /// Notes that an attempt was sent.
+    /// Records that an attempt was sent; if a probe is due, this attempt is it.
     pub(crate) fn on_sent(&mut self, now_ms: u64) {
         if self.status(now_ms) == HealthStatus::ProbeDue {
             self.state = State::Probing { since_ms: now_ms };
         }
     }
 
-    /// Notes a complete answer and its ratio of actual to expected duration; returns whether an
-    /// ejected upstream is still too slow to return.
+    /// Records a completed attempt and its ratio of actual to expected duration; returns whether it
+    /// was a probe that shows the upstream to be still too slow.
     pub(crate) fn on_success(&mut self, ratio: f64, pool_ratio: f64) -> bool {
         self.consecutive_failures = 0;
         if matches!(self.state, State::Probing { .. }) {
             if ratio > pool_ratio * EJECT_LATENCY_FACTOR {
                 return true;
             }
-            // The latency before the ejection says nothing about the time after it.
+            // Samples from before the ejection don't describe the upstream after its return.
             self.state = State::InService;
             self.samples = 0;
             self.ratio = ratio;
         }
-        self.take_sample(ratio);
+        self.record_sample(ratio);
         false
     }
 
-    /// Notes an attempt that was given up after it had run `ratio` times the expected duration.
+    /// Records an attempt that was abandoned after `ratio` times its expected duration.
     pub(crate) fn on_abandoned(&mut self, now_ms: u64, ratio: f64) {
-        // Its whole duration would have been longer; a short one says nothing.
+        // The full duration would have been longer, so a ratio below the average shows nothing.
         if ratio > self.ratio {
-            self.take_sample(ratio);
+            self.record_sample(ratio);
         }
         self.on_not_run(now_ms);
     }
 
-    fn take_sample(&mut self, ratio: f64) {
+    fn record_sample(&mut self, ratio: f64) {
         self.samples = self.samples.saturating_add(1);
         self.ratio += (ratio - self.ratio) * LATENCY_WEIGHT;
     }
 
-    /// Notes a failure; returns whether the upstream should be ejected.
+    /// Records a failed attempt; returns whether the upstream should be ejected.
     pub(crate) fn on_failure(&mut self) -> bool {
         match self.state {
             State::InService => {
@@ -125,25 +125,26 @@
                 self.consecutive_failures >= EJECT_FAILURES
             }
             State::Probing { .. } => true,
-            // The attempt was sent before the ejection, which has been counted.
+            // The attempt was sent before the ejection, which already accounts for it.
             State::Ejected { .. } => false,
         }
     }
 
-    /// Notes that an attempt did not run, so that another one may decide about the return.
+    /// Records an attempt that did not run; if it was a probe, the next probe is due at once.
     pub(crate) fn on_not_run(&mut self, now_ms: u64) {
         if matches!(self.state, State::Probing { .. }) {
             self.state = State::Ejected { until_ms: now_ms };
         }
     }
 
-    /// Tells whether the upstream is so much slower than its pool that it should be ejected.
-    pub(crate) fn is_outlier(&self, pool_ratio: f64) -> bool {
+    /// Returns whether the upstream is in service and so slow relative to `pool_ratio`, the median
+    /// of its pool, that it should be ejected.
+    pub(crate) fn is_latency_outlier(&self, pool_ratio: f64) -> bool {
         self.state == State::InService
-            && self.latency_ratio().is_some_and(|it| it > pool_ratio * EJECT_LATENCY_FACTOR)
+            && self.mean_latency_ratio().is_some_and(|it| it > pool_ratio * EJECT_LATENCY_FACTOR)
     }
 
-    /// Takes the upstream out for a backoff that doubles with each ejection.
+    /// Ejects the upstream for a backoff that doubles with each ejection.
     pub(crate) fn eject(&mut self, now_ms: u64) {
         let backoff_ms = FIRST_BACKOFF_MS << self.ejections.min(16);
         self.state = State::Ejected { until_ms: now_ms + backoff_ms.min(MAX_BACKOFF_MS) };
@@ -151,9 +152,10 @@
         self.consecutive_failures = 0;
     }
 
-    /// Forgets earlier ejections after a long time without one.
-    pub(crate) fn forgive(&mut self) {
-        if self.state == State::InService && self.samples >= 10 * LATENCY_SAMPLES {
+    /// Resets the backoff to its first value once the upstream has served many attempts in a row
+    /// without an ejection.
+    pub(crate) fn reset_backoff_if_stable(&mut self) {
+        if self.state == State::InService && self.samples >= 10 * MIN_LATENCY_SAMPLES {
             self.ejections = 0;
         }
     }
--- a/crates/core/src/routing/hints.rs
+++ b/crates/core/src/routing/hints.rs
@@ -1,10 +1,10 @@
-//! Hints about the prompt prefixes that upstreams have in their caches.
+//! Record of the prompt prefixes that upstreams probably have in their caches.
 
 use std::collections::VecDeque;
 
 use crate::{FastMap, FastSet, routing::UpstreamKey};
 
-/// Prefixes that are remembered per upstream.
+/// Number of prefixes kept per upstream; beyond it the oldest is dropped.
 const MAX_PREFIXES: usize = 4_096;
 
 /// Change of an upstream's prefix cache.
@@ -14,59 +14,61 @@
     Stored(u64),
     /// The prefix with this hash was removed.
     Evicted(u64),
-    /// The whole cache was emptied.
+    /// All prefixes were removed.
     Cleared,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Known {
+struct CachedPrefixes {
     last_sequence: Option<u64>,
     prefixes: FastSet<u64>,
-    order: VecDeque<u64>,
+    insertion_order: VecDeque<u64>,
 }
 
-/// Prefixes that each upstream is believed to hold.
+/// Prefixes that each upstream probably has in its cache.
 ///
-/// Events arrive late and with gaps, so a hint may be wrong; it never decides correctness.
+/// Events arrive late and with gaps, so a hint may be wrong. It may affect latency only, never
+/// correctness.
 #[derive(Clone, Debug, Default)]
 pub struct PrefixHints {
-    upstreams: FastMap<UpstreamKey, Known>,
+    upstreams: FastMap<UpstreamKey, CachedPrefixes>,
 }
 
 impl PrefixHints {
-    /// Takes an event; a gap in the sequence numbers voids what was known of the upstream.
+    /// Applies an event; a gap in the sequence numbers drops all hints about the upstream, and a
+    /// repeated or older event is ignored.
     pub fn on_event(&mut self, upstream: UpstreamKey, sequence: u64, event: CacheEvent) {
-        let known = self.upstreams.entry(upstream).or_default();
-        if let Some(last) = known.last_sequence {
+        let cached = self.upstreams.entry(upstream).or_default();
+        if let Some(last) = cached.last_sequence {
             if sequence <= last {
                 return;
             }
             if sequence > last + 1 {
-                known.clear();
+                cached.clear();
             }
         }
-        known.last_sequence = Some(sequence);
-        known.apply(event);
+        cached.last_sequence = Some(sequence);
+        cached.apply(event);
     }
 
-    /// Forgets an upstream, for example when it was restarted.
+    /// Drops all hints about an upstream, for example after its restart.
     pub fn forget(&mut self, upstream: UpstreamKey) {
         self.upstreams.remove(&upstream);
     }
 
-    /// Tells whether an upstream is believed to hold a prefix.
+    /// Returns whether an upstream probably has a prefix in its cache.
     pub fn holds(&self, upstream: UpstreamKey, prefix: u64) -> bool {
         self.upstreams.get(&upstream).is_some_and(|it| it.prefixes.contains(&prefix))
     }
 }
 
-impl Known {
+impl CachedPrefixes {
     fn apply(&mut self, event: CacheEvent) {
         match event {
             CacheEvent::Stored(prefix) => self.store(prefix),
             CacheEvent::Evicted(prefix) => {
                 self.prefixes.remove(&prefix);
-                self.order.retain(|it| *it != prefix);
+                self.insertion_order.retain(|it| *it != prefix);
             }
             CacheEvent::Cleared => self.clear(),
         }
@@ -76,9 +78,9 @@
         if !self.prefixes.insert(prefix) {
             return;
         }
-        self.order.push_back(prefix);
-        if self.order.len() > MAX_PREFIXES
-            && let Some(oldest) = self.order.pop_front()
+        self.insertion_order.push_back(prefix);
+        if self.insertion_order.len() > MAX_PREFIXES
+            && let Some(oldest) = self.insertion_order.pop_front()
         {
             self.prefixes.remove(&oldest);
         }
@@ -86,6 +88,6 @@
 
     fn clear(&mut self) {
         self.prefixes.clear();
-        self.order.clear();
+        self.insertion_order.clear();
     }
 }
--- a/crates/core/src/routing/mod.rs
+++ b/crates/core/src/routing/mod.rs
@@ -1,8 +1,8 @@
-//! Choice of the upstream that an attempt is sent to.
+//! Load balancing: selection of the upstream that an attempt is sent to.
 //!
-//! The entry keeps a [`PoolView`] per pool: the load that replies carried, the attempts sent since,
-//! the health of each upstream and hints about cached prompt prefixes. [`choose`] picks among the
-//! candidates of that view.
+//! The entry keeps a [`PoolView`] per pool, with the load from the last replies, the attempts sent
+//! since then, the health of each upstream and hints about cached prompt prefixes. [`choose`]
+//! selects among the candidates of that view.
 
 mod choose;
 mod health;
@@ -25,6 +25,6 @@
 };
 
 new_key_type! {
-    /// Identifies an upstream within one entry.
+    /// Key of an upstream in a [`PoolView`].
     pub struct UpstreamKey;
 }
--- a/crates/core/src/routing/pool.rs
+++ b/crates/core/src/routing/pool.rs
@@ -1,4 +1,4 @@
-//! What one entry knows of the upstreams of a pool.
+//! View that one entry has of the upstreams in a pool.
 
 use serde::{Deserialize, Serialize};
 use slotmap::{SecondaryMap, SlotMap};
@@ -10,83 +10,83 @@
     hints::{CacheEvent, PrefixHints},
 };
 
-/// Time after which the reported load counts half, in milliseconds.
+/// Age at which a reported load is discounted by half, in milliseconds.
 const LOAD_HALF_LIFE_MS: u64 = 2_000;
 
-/// Load of an upstream as its agent reported it.
+/// Load of an upstream as reported by its agent.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct LoadReport {
     /// Calls in progress at the upstream.
     pub running: u32,
-    /// Calls that wait in the agent.
+    /// Calls queued at the agent.
     pub queued: u32,
-    /// Calls that the upstream may run at once.
+    /// Concurrency limit of the upstream.
     pub limit: u32,
-    /// Calls that the upstream is expected to run at once shortly.
+    /// Concurrency limit that the upstream is expected to reach shortly.
     #[serde(rename = "outlook")]
     pub projected_limit: u32,
     /// Whether the upstream is in a cold start.
     pub cold: bool,
-    /// Whether the agent refuses new work.
+    /// Whether the agent refuses new calls.
     pub draining: bool,
 }
 
 impl LoadReport {
-    /// Returns what is assumed of an upstream that has not reported: cold and idle.
+    /// Returns the load assumed of an upstream that has not reported yet: cold and idle.
     pub fn unknown(cold_limit: u32) -> Self {
         let limit = cold_limit.max(1);
         Self { running: 0, queued: 0, limit, projected_limit: limit, cold: true, draining: false }
     }
 }
 
-/// Load of a whole pool as an entry knows it.
+/// Load of a whole pool as estimated by one entry.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct PoolLoad {
-    /// Upstreams that may receive work.
+    /// Number of upstreams in service.
     pub upstreams: u32,
-    /// Calls that run or wait at them.
+    /// Calls that run or wait at these upstreams.
     pub outstanding: u32,
-    /// Part of the outstanding calls that this entry sent.
+    /// Outstanding calls that this entry sent.
     pub own_outstanding: u32,
-    /// Calls that they are expected to run at once shortly.
+    /// Sum of the concurrency limits that these upstreams are expected to reach shortly.
     pub projected_limit: u32,
 }
 
-/// How an attempt ended, as far as the health of the upstream is concerned.
+/// How an attempt ended, as input to the health of the upstream.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum AttemptEnd {
-    /// It completed, taking `ratio` times the expected time at the upstream.
+    /// It completed after `ratio` times the expected duration at the upstream.
     Completed {
         /// Ratio of actual to expected duration.
         ratio: f64,
     },
-    /// It was cancelled or given up after it had run `ratio` times the expected time.
+    /// It was cancelled or timed out after `ratio` times the expected duration.
     Abandoned {
-        /// Ratio of the time that passed to the expected duration.
+        /// Ratio of elapsed time to expected duration.
         ratio: f64,
     },
     /// The upstream or its agent failed.
     Failed,
-    /// It was refused, cancelled or dropped, which says nothing about the health.
+    /// It was refused, cancelled or dropped before it ran, which is no evidence about the health.
     NotRun,
 }
 
-/// Mechanisms that tests switch off.
+/// Mechanisms that tests disable.
 #[cfg(feature = "sabotage")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Sabotage {
-    /// Everything works.
+    /// No mechanism is disabled.
     #[default]
     None,
-    /// Attempts sent since the last reply don't count.
+    /// Attempts sent since the last reply are not counted.
     IgnoreOwnAttempts,
-    /// Upstreams count as warm.
+    /// All upstreams are treated as warm.
     IgnoreCold,
-    /// Upstreams that were tried may be chosen again.
+    /// Upstreams that an earlier attempt was sent to may be chosen again.
     IgnoreTried,
     /// Any number of upstreams may be ejected.
     EjectAll,
-    /// An ejected upstream receives everything as soon as its backoff is over.
+    /// After its backoff an ejected upstream receives any number of attempts instead of one probe.
     ReturnAtOnce,
 }
 
@@ -101,7 +101,7 @@
     in_flight: u32,
 }
 
-/// Upstreams of a pool as one entry knows them.
+/// View that one entry has of the upstreams in a pool.
 #[derive(Clone, Debug, Default)]
 pub struct PoolView {
     upstreams: SlotMap<UpstreamKey, Upstream>,
@@ -117,15 +117,15 @@
         Self::default()
     }
 
-    /// Switches one mechanism off.
+    /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, sabotage: Sabotage) {
         self.sabotage = sabotage;
     }
 
-    /// Adds an upstream, which counts as cold until its agent replies.
+    /// Adds an upstream, which is assumed cold until its agent replies.
     ///
-    /// `stable_id` names the upstream alike in all entries, such as a hash of its name.
+    /// `stable_id` must be the same in all entries, such as a hash of the upstream's name.
     pub fn add(
         &mut self,
         now_ms: u64,
@@ -146,20 +146,21 @@
         key
     }
 
-    /// Removes an upstream with all that is known of it.
+    /// Removes an upstream with its health and cache hints.
     pub fn remove(&mut self, key: UpstreamKey) {
         self.upstreams.remove(key);
         self.health.remove(key);
         self.hints.forget(key);
     }
 
-    /// Takes an upstream out of the choice, because it leaves or its data centre is out, or back.
+    /// Sets whether an upstream is excluded from the choice, because it is leaving, its data centre
+    /// is out of service or its agent is not available.
     pub fn set_withdrawn(&mut self, key: UpstreamKey, withdrawn: bool) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         upstream.withdrawn = withdrawn;
     }
 
-    /// Notes that an attempt is sent to an upstream.
+    /// Records that an attempt is sent to an upstream.
     pub fn on_sent(&mut self, now_ms: u64, key: UpstreamKey) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         upstream.sent_since_reply += 1;
@@ -171,7 +172,7 @@
         self.health[key].on_sent(now_ms);
     }
 
-    /// Takes the load that a reply of the agent carried.
+    /// Records the load from a reply of the agent.
     pub fn on_reply(&mut self, now_ms: u64, key: UpstreamKey, load: LoadReport) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         upstream.load = load;
@@ -179,7 +180,7 @@
         upstream.sent_since_reply = 0;
     }
 
-    /// Notes that an attempt ended.
+    /// Records the end of an attempt and ejects the upstream if necessary.
     pub fn on_end(&mut self, now_ms: u64, key: UpstreamKey, end: AttemptEnd) {
         let Some(upstream) = self.upstreams.get_mut(key) else { return };
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
@@ -187,14 +188,14 @@
 
         let eject = match end {
             AttemptEnd::Completed { ratio } => {
-                let pool_ratio = self.typical_ratio().unwrap_or(1.0);
-                let stays_out = self.health[key].on_success(ratio, pool_ratio);
-                self.health[key].forgive();
-                stays_out || self.is_outlier(key)
+                let pool_ratio = self.median_latency_ratio().unwrap_or(1.0);
+                let failed_probe = self.health[key].on_success(ratio, pool_ratio);
+                self.health[key].reset_backoff_if_stable();
+                failed_probe || self.is_latency_outlier(key)
             }
             AttemptEnd::Abandoned { ratio } => {
                 self.health[key].on_abandoned(now_ms, ratio);
-                self.is_outlier(key)
+                self.is_latency_outlier(key)
             }
             AttemptEnd::Failed => self.health[key].on_failure(),
             AttemptEnd::NotRun => {
@@ -207,14 +208,16 @@
         }
     }
 
-    /// Takes an event about an upstream's prefix cache.
+    /// Records a change of an upstream's prefix cache.
     pub fn on_cache_event(&mut self, key: UpstreamKey, sequence: u64, event: CacheEvent) {
         if self.upstreams.contains_key(key) {
             self.hints.on_event(key, sequence, event);
         }
     }
 
-    /// Returns the candidates for an attempt with the given prompt prefix.
+    /// Returns all upstreams as candidates for an attempt with the given prompt prefix.
+    ///
+    /// `tried` lists the upstreams to which earlier attempts of the same stage were sent.
     pub fn candidates(
         &self,
         now_ms: u64,
@@ -222,7 +225,7 @@
         tried: &[UpstreamKey],
     ) -> Vec<Candidate> {
         let mut candidates = Vec::with_capacity(self.upstreams.len());
-        let pool_ratio = self.typical_ratio().unwrap_or(1.0);
+        let pool_ratio = self.median_latency_ratio().unwrap_or(1.0);
         let ignores_ejection = self.ignores_ejection(now_ms);
         for (key, upstream) in &self.upstreams {
             let health = &self.health[key];
@@ -230,7 +233,7 @@
                 true => HealthStatus::InService,
                 false => health.status(now_ms),
             };
-            let ratio = health.latency_ratio().unwrap_or(pool_ratio);
+            let ratio = health.mean_latency_ratio().unwrap_or(pool_ratio);
             candidates.push(Candidate {
                 key,
                 stable_id: upstream.stable_id,
@@ -264,7 +267,7 @@
         }
     }
 
-    /// Returns the load of the upstreams that may receive work.
+    /// Returns the load of the upstreams that are in service.
     pub fn load(&self, now_ms: u64) -> PoolLoad {
         let mut pool = PoolLoad::default();
         let ignores_ejection = self.ignores_ejection(now_ms);
@@ -283,33 +286,34 @@
         pool
     }
 
-    /// Tells whether every upstream that is not withdrawn has been ejected.
+    /// Returns whether ejections are ignored because no upstream would be left in service.
     ///
-    /// That happens when the others of the pool are withdrawn after the ejection. Ejection is a
-    /// choice among upstreams, so it must not take the last ones out of service.
+    /// That happens when the rest of the pool is withdrawn or drains after the ejection. Ejection
+    /// prefers some upstreams over others, so it must not take the last ones out of service.
     fn ignores_ejection(&self, now_ms: u64) -> bool {
         for (key, upstream) in &self.upstreams {
-            let is_open = !upstream.current_load(now_ms).draining;
-            if is_open && self.health[key].status(now_ms) == HealthStatus::InService {
+            let accepts_calls = !upstream.current_load(now_ms).draining;
+            if accepts_calls && self.health[key].status(now_ms) == HealthStatus::InService {
                 return false;
             }
         }
         true
     }
 
-    fn is_outlier(&self, key: UpstreamKey) -> bool {
-        self.typical_ratio().is_some_and(|it| self.health[key].is_outlier(it))
+    fn is_latency_outlier(&self, key: UpstreamKey) -> bool {
+        self.median_latency_ratio().is_some_and(|it| self.health[key].is_latency_outlier(it))
     }
 
-    /// Returns the median latency ratio of the upstreams that have one.
-    fn typical_ratio(&self) -> Option<f64> {
-        let mut ratios: Vec<f64> = self.health.values().filter_map(Health::latency_ratio).collect();
+    /// Returns the median latency ratio over the upstreams with enough samples.
+    fn median_latency_ratio(&self) -> Option<f64> {
+        let mut ratios: Vec<f64> =
+            self.health.values().filter_map(Health::mean_latency_ratio).collect();
         ratios.sort_unstable_by(f64::total_cmp);
         let middle = ratios.len().checked_sub(1)? / 2;
         Some(ratios[middle].max(0.01))
     }
 
-    /// Tells whether the ejection of one more upstream leaves at least half of the pool.
+    /// Returns whether at least half of the pool stays in service when `key` is ejected.
     fn may_eject(&self, now_ms: u64, key: UpstreamKey) -> bool {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Sabotage::EjectAll {
@@ -323,9 +327,9 @@
 }
 
 impl Upstream {
-    /// Returns the reported load, which counts less the older it is.
+    /// Returns the reported load, halved for each half-life since the report.
     ///
-    /// Without this an upstream that was busy when it last replied would never be chosen again.
+    /// Without the discount an upstream that was busy at its last reply would never be chosen again.
     fn current_load(&self, now_ms: u64) -> LoadReport {
         let half_lives = now_ms.saturating_sub(self.reported_ms) / LOAD_HALF_LIFE_MS;
         let shift = half_lives.min(31) as u32;
--- a/crates/core/tests/routing_fuzz.rs
+++ b/crates/core/tests/routing_fuzz.rs
@@ -1,4 +1,6 @@
-//! Fuzzes the choice of upstreams against an oracle that knows only its promises.
+//! Fuzzes the choice of upstreams against an oracle that checks its guarantees: cold limits, no
+//! second attempt of a stage at the same upstream, one probe at a time, and at most half of the pool
+//! ejected.
 
 use std::cell::Cell;
 
@@ -16,11 +18,11 @@
 const UPSTREAMS: usize = 5;
 const COLD_LIMIT: u32 = 2;
 
-/// Age up to which a reported load counts in full, in milliseconds.
-const FRESH_MS: u64 = 2_000;
+/// Age up to which a reported load is not discounted, in milliseconds.
+const FULL_WEIGHT_MS: u64 = 2_000;
 
-/// Time for which an attempt at return is the only one, in milliseconds.
-const PROBE_MS: u64 = 10_000;
+/// Time for which an unanswered probe blocks other attempts, in milliseconds.
+const PROBE_TIMEOUT_MS: u64 = 10_000;
 
 #[derive(Clone, Debug)]
 enum Event {
@@ -78,24 +80,24 @@
     fn apply((): (), _: &Event) {}
 }
 
-/// What the entry was told of one upstream and sent to it.
+/// Reports received from one upstream and attempts sent to it.
 #[derive(Clone, Copy, Default)]
-struct Known {
+struct UpstreamRecord {
     reported: Option<(u64, LoadReport)>,
     sent_since_reply: u32,
     in_flight: u32,
-    probe_ms: Option<u64>,
+    probe_sent_ms: Option<u64>,
 }
 
-impl Known {
+impl UpstreamRecord {
     fn is_cold(&self) -> bool {
         self.reported.is_none_or(|(_, load)| load.cold)
     }
 
-    fn at_least_outstanding(&self, now_ms: u64) -> u32 {
+    fn min_outstanding(&self, now_ms: u64) -> u32 {
         let mut reported = 0;
         if let Some((at_ms, load)) = self.reported
-            && now_ms - at_ms < FRESH_MS
+            && now_ms - at_ms < FULL_WEIGHT_MS
         {
             reported = load.running + load.queued;
         }
@@ -119,8 +121,8 @@
 struct Sut {
     pool: PoolView,
     keys: Vec<UpstreamKey>,
-    known: [Known; UPSTREAMS],
-    flights: Vec<usize>,
+    records: [UpstreamRecord; UPSTREAMS],
+    in_flight: Vec<usize>,
     now_ms: u64,
 }
 
@@ -135,53 +137,57 @@
             Ok(choice) => choice,
             Err(ChoiceError::Cold) => return,
             Err(ChoiceError::NoUpstream) => {
-                let usable = |it: &usize| {
-                    let drains = self.known[*it].reported.is_some_and(|(_, load)| load.draining);
+                let is_usable = |it: &usize| {
+                    let is_draining =
+                        self.records[*it].reported.is_some_and(|(_, load)| load.draining);
                     let health_status = candidates[*it].health_status;
-                    !tried.contains(it) && !drains && health_status == HealthStatus::InService
+                    !tried.contains(it) && !is_draining && health_status == HealthStatus::InService
                 };
-                assert!(!(0..UPSTREAMS).any(|it| usable(&it)), "refused beside a usable upstream");
+                assert!(
+                    !(0..UPSTREAMS).any(|it| is_usable(&it)),
+                    "refused despite a usable upstream"
+                );
                 return;
             }
         };
 
         let chosen = self.keys.iter().position(|it| *it == choice.key).unwrap();
-        let known = &mut self.known[chosen];
-        assert!(!tried.contains(&chosen), "chose an upstream that was tried");
-        assert!(!known.reported.is_some_and(|(_, it)| it.draining), "chose a draining upstream");
-        if known.is_cold() {
-            let outstanding = known.at_least_outstanding(now_ms);
-            assert!(outstanding < COLD_LIMIT, "more calls than a cold upstream bears");
+        let record = &mut self.records[chosen];
+        assert!(!tried.contains(&chosen), "chose an upstream that was already tried");
+        assert!(!record.reported.is_some_and(|(_, it)| it.draining), "chose a draining upstream");
+        if record.is_cold() {
+            let outstanding = record.min_outstanding(now_ms);
+            assert!(outstanding < COLD_LIMIT, "more calls at a cold upstream than its limit");
         }
-        let probing = known.probe_ms.is_some_and(|it| now_ms < it + PROBE_MS);
-        assert!(!probing, "second attempt beside the one for its return");
+        let is_probing = record.probe_sent_ms.is_some_and(|it| now_ms < it + PROBE_TIMEOUT_MS);
+        assert!(!is_probing, "second attempt while a return probe is in progress");
 
         if choice.reason == ChoiceReason::ReturnProbe {
-            known.probe_ms = Some(now_ms);
+            record.probe_sent_ms = Some(now_ms);
         }
-        known.sent_since_reply += 1;
-        known.in_flight += 1;
-        self.flights.push(chosen);
+        record.sent_since_reply += 1;
+        record.in_flight += 1;
+        self.in_flight.push(chosen);
         self.pool.on_sent(now_ms, choice.key);
     }
 
     fn end(&mut self, index: usize, end: AttemptEnd) {
-        if self.flights.is_empty() {
+        if self.in_flight.is_empty() {
             return;
         }
-        let upstream = self.flights.swap_remove(index % self.flights.len());
-        let known = &mut self.known[upstream];
-        known.in_flight -= 1;
-        known.sent_since_reply = known.sent_since_reply.min(known.in_flight);
-        known.probe_ms = None;
+        let upstream = self.in_flight.swap_remove(index % self.in_flight.len());
+        let record = &mut self.records[upstream];
+        record.in_flight -= 1;
+        record.sent_since_reply = record.sent_since_reply.min(record.in_flight);
+        record.probe_sent_ms = None;
         self.pool.on_end(self.now_ms, self.keys[upstream], end);
     }
 
-    fn check_ejected(&self) {
+    fn check_ejected_part(&self) {
         let candidates = self.pool.candidates(self.now_ms, None, &[]);
-        let out =
+        let ejected =
             candidates.iter().filter(|it| it.health_status != HealthStatus::InService).count();
-        assert!(out * 2 <= UPSTREAMS, "more than half of the pool is ejected");
+        assert!(ejected * 2 <= UPSTREAMS, "more than half of the pool is ejected");
     }
 }
 
@@ -194,22 +200,22 @@
         #[cfg(feature = "sabotage")]
         pool.sabotage(SABOTAGE.get());
         let keys = (0..UPSTREAMS).map(|it| pool.add(0, it as u64, it == 0, COLD_LIMIT)).collect();
-        let known = [Known::default(); UPSTREAMS];
-        Self { pool, keys, known, flights: Vec::new(), now_ms: 0 }
+        let records = [UpstreamRecord::default(); UPSTREAMS];
+        Self { pool, keys, records, in_flight: Vec::new(), now_ms: 0 }
     }
 
     fn apply(mut sut: Self, (): &(), event: Event) -> Self {
         match event {
             Event::Advance(ms) => sut.now_ms += ms,
             Event::Reply { upstream, load } => {
-                sut.known[upstream].reported = Some((sut.now_ms, load));
-                sut.known[upstream].sent_since_reply = 0;
+                sut.records[upstream].reported = Some((sut.now_ms, load));
+                sut.records[upstream].sent_since_reply = 0;
                 sut.pool.on_reply(sut.now_ms, sut.keys[upstream], load);
             }
             Event::Route { prefix, tried, numbers } => sut.route(prefix, &tried, numbers),
             Event::End { index, end } => sut.end(index, end),
         }
-        sut.check_ejected();
+        sut.check_ejected_part();
         sut
     }
 }
@@ -227,13 +233,13 @@
 }
 
 #[test]
-fn choices_respect_cold_limits_tries_and_ejections() {
+fn choices_respect_cold_limits_tried_upstreams_and_ejections() {
     run(Sabotage::None).unwrap();
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn oracle_notices_each_disabled_mechanism() {
+fn oracle_detects_each_disabled_mechanism() {
     let mechanisms = [
         Sabotage::IgnoreOwnAttempts,
         Sabotage::IgnoreCold,
@@ -242,6 +248,6 @@
         Sabotage::ReturnAtOnce,
     ];
     for sabotage in mechanisms {
-        assert!(run(sabotage).is_err(), "{sabotage:?} went unnoticed");
+        assert!(run(sabotage).is_err(), "{sabotage:?} was not detected");
     }
 }
