--- a/crates/core/src/control/change.rs
+++ b/crates/core/src/control/change.rs
@@ -21,15 +21,15 @@
 )]
 #[display("{_0:032x}")]
 #[serde(into = "String", try_from = "String")]
-pub struct AuthorToken(pub u128);
+pub struct ChangeId(pub u128);
 
-impl From<AuthorToken> for String {
-    fn from(author: AuthorToken) -> Self {
-        author.to_string()
+impl From<ChangeId> for String {
+    fn from(change_id: ChangeId) -> Self {
+        change_id.to_string()
     }
 }
 
-impl TryFrom<String> for AuthorToken {
+impl TryFrom<String> for ChangeId {
     type Error = ParseIntError;
 
     /// Reads the hexadecimal form; as a number the token would lose digits in JSON.
@@ -112,7 +112,7 @@
 
 /// Carries one change of an operator through to a result.
 pub struct ChangeFlow<T> {
-    author: AuthorToken,
+    change_id: ChangeId,
     propose: Propose<T>,
     identify: fn(&T) -> Identity,
     is_reapplied: bool,
@@ -158,7 +158,7 @@
     pub fn promote(
         text: Arc<str>,
         expected_version: Option<u64>,
-        author: AuthorToken,
+        change_id: ChangeId,
     ) -> Result<Self, Vec<Fault>> {
         document::parse(&text)?;
         let digest = Digest::of(text.as_bytes());
@@ -177,14 +177,14 @@
             })
         };
         let identify = |it: &ConfigRecord| Identity { version: it.version, digest: it.digest };
-        Ok(Self::new(author, Box::new(propose), identify, false))
+        Ok(Self::new(change_id, Box::new(propose), identify, false))
     }
 }
 
 impl ChangeFlow<OperationsRecord> {
     /// Prepares a change to the operational state, which is made again on a newer state if another
     /// change wins the race.
-    pub fn change_operations(change: OperationsChange, author: AuthorToken) -> Self {
+    pub fn change_operations(change: OperationsChange, change_id: ChangeId) -> Self {
         let propose = move |current: Option<&OperationsRecord>| {
             let initial = OperationsRecord::initial();
             match current.unwrap_or(&initial).with(&change) {
@@ -194,19 +194,19 @@
         };
         let identify =
             |it: &OperationsRecord| Identity { version: it.version, digest: it.digest() };
-        Self::new(author, Box::new(propose), identify, true)
+        Self::new(change_id, Box::new(propose), identify, true)
     }
 }
 
 impl<T: Clone> ChangeFlow<T> {
     fn new(
-        author: AuthorToken,
+        change_id: ChangeId,
         propose: Propose<T>,
         identify: fn(&T) -> Identity,
         is_reapplied: bool,
     ) -> Self {
         Self {
-            author,
+            change_id,
             propose,
             identify,
             is_reapplied,
@@ -223,8 +223,8 @@
     }
 
     /// Token that marks the change in the stored history.
-    pub fn author(&self) -> AuthorToken {
-        self.author
+    pub fn change_id(&self) -> ChangeId {
+        self.change_id
     }
 
     /// Returns the first action.
@@ -260,7 +260,7 @@
             false => stored.history.last(),
         };
         match change {
-            Some(change) if change.author == self.author => {
+            Some(change) if change.change_id == self.change_id => {
                 finish(ChangeResult::Accepted { version: write.version })
             }
             Some(_) => self.lost_race(revision, &stored),
@@ -340,7 +340,7 @@
             }
         };
         let Identity { version, digest } = (self.identify)(&record);
-        let entry = HistoryEntry { version, digest, author: self.author };
+        let entry = HistoryEntry { version, digest, change_id: self.change_id };
         let stored = Stored::following(current, record, entry);
         self.send(SentWrite { if_revision, stored, version, is_ambiguous: false })
     }
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -12,7 +12,7 @@
 #[cfg(test)]
 mod tests;
 
-pub use change::{AuthorToken, ChangeAction, ChangeEvent, ChangeFlow, ChangeResult};
+pub use change::{ChangeAction, ChangeEvent, ChangeFlow, ChangeId, ChangeResult};
 pub use operations::OperationsChange;
 pub use sabotage::Sabotage;
 pub use state::{Adopted, Adoption, ControlState};
--- a/crates/core/src/control/stored.rs
+++ b/crates/core/src/control/stored.rs
@@ -2,7 +2,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use super::{AuthorToken, ConfigRecord, OperationsRecord};
+use super::{ChangeId, ConfigRecord, OperationsRecord};
 use crate::ids::Digest;
 
 /// Number of past changes that a stored object lists, so that an author can find its own change.
@@ -31,7 +31,8 @@
     /// Digest of the record that the change made.
     pub digest: Digest,
     /// Author of the change.
-    pub author: AuthorToken,
+    #[serde(rename = "author")]
+    pub change_id: ChangeId,
 }
 
 impl<T> Stored<T> {
--- a/crates/core/src/control/tests.rs
+++ b/crates/core/src/control/tests.rs
@@ -15,8 +15,8 @@
     ControlUpdate { config: Some(record), operations: None }
 }
 
-fn author(number: u128) -> AuthorToken {
-    AuthorToken(number)
+fn change_id(number: u128) -> ChangeId {
+    ChangeId(number)
 }
 
 #[test]
@@ -64,7 +64,7 @@
 
 #[test]
 fn promotes_the_first_document() {
-    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
+    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, change_id(1)).unwrap();
     assert_eq!(flow.start(), ChangeAction::Read);
     let ChangeAction::Write { if_revision: None, stored } = flow.handle(ChangeEvent::Missing)
     else {
@@ -77,14 +77,14 @@
 
 #[test]
 fn finds_its_change_in_the_history_after_a_lost_answer() {
-    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
+    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, change_id(1)).unwrap();
     flow.start();
     let ChangeAction::Write { stored, .. } = flow.handle(ChangeEvent::Missing) else {
         panic!("a missing object is created");
     };
     assert_eq!(flow.handle(ChangeEvent::AnswerLost), ChangeAction::Read);
     let record = config(2, "");
-    let entry = HistoryEntry { version: 2, digest: record.digest, author: author(2) };
+    let entry = HistoryEntry { version: 2, digest: record.digest, change_id: change_id(2) };
     let newer = Stored::following(Some(&stored), record, entry);
     let result = flow.handle(ChangeEvent::Read { revision: 2, stored: newer });
     assert_eq!(result, ChangeAction::Finished(ChangeResult::Accepted { version: 1 }));
@@ -92,7 +92,7 @@
 
 #[test]
 fn sends_an_unsettled_write_again_under_the_same_condition() {
-    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
+    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, change_id(1)).unwrap();
     flow.start();
     let write = flow.handle(ChangeEvent::Missing);
     assert_eq!(flow.handle(ChangeEvent::AnswerLost), ChangeAction::Read);
@@ -101,13 +101,13 @@
 
 #[test]
 fn reports_the_winner_of_a_race() {
-    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, author(1)).unwrap();
+    let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, change_id(1)).unwrap();
     flow.start();
     flow.handle(ChangeEvent::Missing);
     assert_eq!(flow.handle(ChangeEvent::Conflict), ChangeAction::Read);
     let record = config(1, "");
     let digest = record.digest;
-    let entry = HistoryEntry { version: 1, digest, author: author(2) };
+    let entry = HistoryEntry { version: 1, digest, change_id: change_id(2) };
     let stored = Stored::following(None, record, entry);
     let result = flow.handle(ChangeEvent::Read { revision: 1, stored });
     let conflict = ChangeResult::Conflict { current_version: 1, digest };
@@ -117,12 +117,12 @@
 #[test]
 fn makes_an_operations_change_again_on_the_newer_state() {
     let out = |name: &str| OperationsChange::DataCentreOut(name.to_owned());
-    let mut flow = ChangeFlow::change_operations(out("east"), author(1));
+    let mut flow = ChangeFlow::change_operations(out("east"), change_id(1));
     flow.start();
     flow.handle(ChangeEvent::Missing);
     flow.handle(ChangeEvent::Conflict);
     let record = OperationsRecord::initial().with(&out("west")).unwrap();
-    let entry = HistoryEntry { version: 2, digest: record.digest(), author: author(2) };
+    let entry = HistoryEntry { version: 2, digest: record.digest(), change_id: change_id(2) };
     let stored = Stored::following(None, record, entry);
     let action = flow.handle(ChangeEvent::Read { revision: 1, stored });
     let ChangeAction::Write { if_revision: Some(1), stored } = action else {
--- a/crates/core/tests/control_fuzz/object.rs
+++ b/crates/core/tests/control_fuzz/object.rs
@@ -1,7 +1,7 @@
 //! One object of the platform with the flows that change it.
 
 use yuccatrail_core::control::{
-    AuthorToken, ChangeAction, ChangeEvent, ChangeFlow, ChangeResult, HistoryEntry, Stored,
+    ChangeAction, ChangeEvent, ChangeFlow, ChangeId, ChangeResult, HistoryEntry, Stored,
 };
 
 /// Calls of a flow below which it has not used up its limit.
@@ -22,7 +22,7 @@
     late: Vec<(Option<u64>, Stored<T>)>,
     pub(crate) log: Vec<HistoryEntry>,
     operators: Vec<Operator<T>>,
-    refused: Vec<AuthorToken>,
+    refused: Vec<ChangeId>,
     is_base_checked: bool,
 }
 
@@ -128,8 +128,8 @@
         let ChangeAction::Finished(result) = operator.action else {
             return;
         };
-        let author = operator.flow.author();
-        let own = self.log.iter().find(|it| it.author == author);
+        let change_id = operator.flow.change_id();
+        let own = self.log.iter().find(|it| it.change_id == change_id);
         match result {
             ChangeResult::Accepted { version } => {
                 let own = own.expect("an accepted change took effect");
@@ -142,15 +142,15 @@
             ChangeResult::Conflict { current_version, digest } => {
                 let known = (self.version(), self.log.last().map(|it| it.digest));
                 assert_eq!(known, (current_version, Some(digest)), "the winner is in force");
-                self.refused.push(author);
+                self.refused.push(change_id);
             }
-            _ => self.refused.push(author),
+            _ => self.refused.push(change_id),
         }
     }
 
     pub(crate) fn check(&self) {
         for entry in &self.log {
-            assert!(!self.refused.contains(&entry.author), "a refused change took effect");
+            assert!(!self.refused.contains(&entry.change_id), "a refused change took effect");
         }
     }
 }
--- a/crates/core/tests/control_fuzz/world.rs
+++ b/crates/core/tests/control_fuzz/world.rs
@@ -4,7 +4,7 @@
 
 use yuccatrail_core::{
     control::{
-        AuthorToken, ChangeFlow, ConfigRecord, ControlState, ControlUpdate, HistoryEntry,
+        ChangeFlow, ChangeId, ConfigRecord, ControlState, ControlUpdate, HistoryEntry,
         OperationsChange, OperationsRecord, Sabotage, Versions,
     },
     ids::Digest,
@@ -56,15 +56,15 @@
         process
     }
 
-    fn author(&mut self) -> AuthorToken {
+    fn change_id(&mut self) -> ChangeId {
         self.next_author += 1;
-        AuthorToken(self.next_author)
+        ChangeId(self.next_author)
     }
 
     pub(crate) fn promote(&mut self, text: u8, is_strict: bool) {
         let expected = is_strict.then(|| self.config.version());
         let text = Arc::from(format!("[[customer]]\nname = \"customer-{text}\"\n"));
-        let mut flow = ChangeFlow::promote(text, expected, self.author()).expect("a valid text");
+        let mut flow = ChangeFlow::promote(text, expected, self.change_id()).expect("a valid text");
         sabotage!(flow, self.off);
         self.config.begin(flow);
     }
@@ -75,7 +75,7 @@
             0 => OperationsChange::DataCentreOut(name),
             _ => OperationsChange::DataCentreIn(name),
         };
-        let mut flow = ChangeFlow::change_operations(change, self.author());
+        let mut flow = ChangeFlow::change_operations(change, self.change_id());
         sabotage!(flow, self.off);
         self.operations.begin(flow);
     }
--- a/crates/entry/src/operator/change.rs
+++ b/crates/entry/src/operator/change.rs
@@ -3,7 +3,7 @@
 use serde::{Serialize, de::DeserializeOwned};
 use tokio::time::Instant;
 use yuccatrail_core::control::{
-    AuthorToken, ChangeAction, ChangeEvent, ChangeFlow, ChangeResult, ConfigRecord, ControlUpdate,
+    ChangeAction, ChangeEvent, ChangeFlow, ChangeId, ChangeResult, ConfigRecord, ControlUpdate,
     Stored,
 };
 use yuccatrail_platform::{
@@ -42,8 +42,8 @@
 }
 
 /// Draws the token by which a change finds itself in the stored history.
-pub(crate) fn new_author() -> AuthorToken {
-    AuthorToken(rand::random())
+pub(crate) fn new_author() -> ChangeId {
+    ChangeId(rand::random())
 }
 
 /// Drives a flow until it is finished or the deadline has passed.
--- a/crates/fakes/tests/platform_api.rs
+++ b/crates/fakes/tests/platform_api.rs
@@ -8,7 +8,7 @@
 use hyper_util::{client::legacy, rt::TokioExecutor};
 use serde::{Deserialize, Serialize};
 use yuccatrail_core::{
-    control::{AuthorToken, ConfigRecord, HistoryEntry, Stored, StoredConfig},
+    control::{ChangeId, ConfigRecord, HistoryEntry, Stored, StoredConfig},
     ids::Digest,
 };
 use yuccatrail_fakes::platform::{Counters, FakePlatform, FakeSettings, Outage, Switches};
@@ -154,7 +154,7 @@
     let record =
         ConfigRecord { version: 1, digest: Digest::of(text.as_bytes()), text: Arc::from(text) };
     let entry =
-        HistoryEntry { version: 1, digest: record.digest, author: AuthorToken(u128::MAX - 1) };
+        HistoryEntry { version: 1, digest: record.digest, change_id: ChangeId(u128::MAX - 1) };
     let stored = Stored { record, history: vec![entry] };
     client.create(Kind::Environments, "current", &stored).await.unwrap();
     let read = client.get::<StoredConfig>(Kind::Environments, "current").await.unwrap();
