--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -152,7 +152,7 @@
     pub fn set_control(&mut self, control: &ControlState, now_ms: u64) {
         self.fetch_until_ms = 0;
         let change = self.gate.set_control(control);
-        if let Ok(document) = control.may_serve() {
+        if let Ok(document) = control.serving_document() {
             self.set_document(document);
         }
         self.on_gate(change, now_ms);
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -15,7 +15,7 @@
 pub use change::{ChangeAction, ChangeEvent, ChangeFlow, ChangeId, ChangeResult};
 pub use operations::OperationsChange;
 pub use sabotage::Sabotage;
-pub use state::{Adopted, Adoption, ControlState};
+pub use state::{Adoption, ControlState, UpdateAdoption};
 pub use stored::{HistoryEntry, Stored, StoredConfig, StoredOperations};
 
 use std::sync::Arc;
--- a/crates/core/src/control/state.rs
+++ b/crates/core/src/control/state.rs
@@ -27,14 +27,14 @@
 
 /// What became of each part of an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct Adopted {
+pub struct UpdateAdoption {
     /// What became of the configuration.
     pub config: Adoption,
     /// What became of the operational state.
     pub operations: Adoption,
 }
 
-impl Adopted {
+impl UpdateAdoption {
     /// Tells whether either part is newly in force.
     pub fn is_changed(&self) -> bool {
         self.config.is_adopted() || self.operations.is_adopted()
@@ -89,7 +89,7 @@
 
     /// Tells whether the record contradicts the one in force or itself, which an operator should
     /// know.
-    pub fn is_alarming(&self) -> bool {
+    pub fn is_error(&self) -> bool {
         matches!(self, Self::Conflict { .. } | Self::DigestMismatch { .. } | Self::Invalid { .. })
     }
 }
@@ -139,7 +139,7 @@
     ///
     /// A process serves only when it holds both parts: without the operational state it could send
     /// work to a data centre that is out.
-    pub fn may_serve(&self) -> Result<&Arc<Document>, Reason> {
+    pub fn serving_document(&self) -> Result<&Arc<Document>, Reason> {
         let Some(config) = &self.config else {
             return Err(Reason::NoConfiguration);
         };
@@ -166,7 +166,7 @@
     }
 
     /// Takes over each part of `update` that is newer than the part in force.
-    pub fn adopt(&mut self, update: ControlUpdate) -> Adopted {
+    pub fn adopt(&mut self, update: ControlUpdate) -> UpdateAdoption {
         let config = match update.config {
             Some(record) => self.adopt_config(record),
             None => Adoption::Absent,
@@ -175,7 +175,7 @@
             Some(record) => self.adopt_operations(record),
             None => Adoption::Absent,
         };
-        Adopted { config, operations }
+        UpdateAdoption { config, operations }
     }
 
     fn adopt_config(&mut self, record: ConfigRecord) -> Adoption {
--- a/crates/core/src/control/tests.rs
+++ b/crates/core/src/control/tests.rs
@@ -22,12 +22,12 @@
 #[test]
 fn serves_only_with_both_parts() {
     let mut state = ControlState::new();
-    assert_eq!(state.may_serve().unwrap_err(), Reason::NoConfiguration);
+    assert_eq!(state.serving_document().unwrap_err(), Reason::NoConfiguration);
     state.adopt(update(config(1, TEXT)));
-    assert_eq!(state.may_serve().unwrap_err(), Reason::NoConfiguration);
+    assert_eq!(state.serving_document().unwrap_err(), Reason::NoConfiguration);
     let operations = Some(OperationsRecord::initial());
     state.adopt(ControlUpdate { config: None, operations });
-    assert!(state.may_serve().is_ok());
+    assert!(state.serving_document().is_ok());
 }
 
 #[test]
--- a/crates/core/src/drain/gate.rs
+++ b/crates/core/src/drain/gate.rs
@@ -76,7 +76,7 @@
     /// Takes over the control state of the process.
     pub fn set_control(&mut self, control: &ControlState) -> GateChange {
         let before = self.refusal();
-        self.has_control_state = control.may_serve().is_ok();
+        self.has_control_state = control.serving_document().is_ok();
         if let Some(operations) = control.operations()
             && !self.switch.is_off(Sabotage::Operations)
         {
--- a/crates/core/tests/control_fuzz/world.rs
+++ b/crates/core/tests/control_fuzz/world.rs
@@ -52,7 +52,10 @@
     fn process(&self) -> ControlState {
         let mut process = ControlState::new();
         sabotage!(process, self.off);
-        assert!(process.may_serve().is_err(), "a process serves before it holds control state");
+        assert!(
+            process.serving_document().is_err(),
+            "a process serves before it holds control state"
+        );
         process
     }
 
@@ -196,7 +199,7 @@
         let versions = self.gossip(0);
         assert_eq!(versions.config, self.config.version(), "the newest state is not in force");
         for process in &self.processes {
-            assert_eq!(process.may_serve().is_ok(), versions.config > 0);
+            assert_eq!(process.serving_document().is_ok(), versions.config > 0);
         }
         self.check_records();
     }
--- a/crates/entry/src/entry.rs
+++ b/crates/entry/src/entry.rs
@@ -91,7 +91,7 @@
         if self.stopping.load(Ordering::Acquire) {
             return Err(Reason::Stopping);
         }
-        self.control.may_serve()
+        self.control.serving_document()
     }
 
     /// Returns the budget of retries and hedges.
--- a/crates/runtime/src/control.rs
+++ b/crates/runtime/src/control.rs
@@ -43,8 +43,8 @@
     /// # Errors
     ///
     /// Returns the reason to refuse every request while the process lacks a part of the state.
-    pub fn may_serve(&self) -> Result<Arc<Document>, Reason> {
-        self.lock().may_serve().cloned()
+    pub fn serving_document(&self) -> Result<Arc<Document>, Reason> {
+        self.lock().serving_document().cloned()
     }
 
     /// Returns the operational state in force.
@@ -123,7 +123,7 @@
 }
 
 fn report(part: &str, adoption: &Adoption, source: &str) {
-    if adoption.is_alarming() {
+    if adoption.is_error() {
         error!(part = part, source = source; "control state refused: {adoption:?}");
         return;
     }
