--- a/crates/agent/src/executor.rs
+++ b/crates/agent/src/executor.rs
@@ -138,7 +138,7 @@
             {
                 state.core.confirm_control(sent_ms, age_ms);
             }
-            again = state.core.asks_again(!holds_all, now_ms);
+            again = state.core.should_sync_again(!holds_all, now_ms);
             self.wake(&mut state);
         }
         self.start_ready();
@@ -206,7 +206,7 @@
         state.core.tick(now_ms);
         let State { core, unread, .. } = &mut *state;
         // An entry that is gone reads nothing any more.
-        unread.retain(|it| core.remembers(*it));
+        unread.retain(|it| core.has_record(*it));
         self.wake(&mut state);
         self.metrics.observe_load(state.core.load());
         drop(state);
@@ -317,7 +317,7 @@
             tokio::spawn(self.clone().run(dispatch, run, pending.call, cut));
         }
         self.wake(&mut state);
-        if state.core.wants_probe() && !state.probing {
+        if state.core.needs_probe() && !state.probing {
             state.probing = true;
             tokio::spawn(self.clone().probe_on_demand());
         }
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -135,7 +135,7 @@
                 ProbeResult::Answered { boot_id, warm: health.warm }
             }
             Ok(Err(CallError::Refused)) => ProbeResult::Refused,
-            Ok(Err(_)) | Err(_) => ProbeResult::Silent,
+            Ok(Err(_)) | Err(_) => ProbeResult::NoAnswer,
         }
     }
 
--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -98,7 +98,7 @@
     pub(super) changed: Vec<AttemptId>,
     /// Last probe that found the upstream as it was known.
     pub(super) evidence: Option<ProbeTicket>,
-    pub(super) wants_probe: bool,
+    pub(super) needs_probe: bool,
     pub(super) probes_sent: u64,
     #[cfg(feature = "sabotage")]
     pub(super) ignores_evidence: bool,
@@ -123,7 +123,7 @@
             calls: FastMap::default(),
             changed: Vec::new(),
             evidence: None,
-            wants_probe: false,
+            needs_probe: false,
             probes_sent: 0,
             #[cfg(feature = "sabotage")]
             ignores_evidence: false,
@@ -183,7 +183,7 @@
     /// Decides whether to ask the sender of a heartbeat for another exchange at once.
     ///
     /// Only one of the entries that announce newer versions is asked for them at a time.
-    pub fn asks_again(&mut self, lacks_state: bool, now_ms: u64) -> bool {
+    pub fn should_sync_again(&mut self, lacks_state: bool, now_ms: u64) -> bool {
         if self.gate.awaits_confirmation() {
             return true;
         }
@@ -321,7 +321,7 @@
     }
 
     /// Tells whether an attempt is still remembered.
-    pub fn remembers(&self, attempt: AttemptId) -> bool {
+    pub fn has_record(&self, attempt: AttemptId) -> bool {
         self.ledger.key(attempt).is_some()
     }
 
--- a/crates/core/src/agent/dispatch.rs
+++ b/crates/core/src/agent/dispatch.rs
@@ -44,7 +44,7 @@
                 return None;
             }
             let Some(next) = self.pop(now_ms) else {
-                self.wants_probe |= self.rests_on_probe() && self.queue.queued() > 0;
+                self.needs_probe |= self.rests_on_probe() && self.queue.queued() > 0;
                 return None;
             };
             if let Some(dispatch) = self.start(next, now_ms) {
--- a/crates/core/src/agent/probing.rs
+++ b/crates/core/src/agent/probing.rs
@@ -18,15 +18,15 @@
 
     /// Returns the ticket of a probe that is sent at `now_ms`.
     pub fn begin_probe(&mut self, now_ms: u64) -> ProbeTicket {
-        self.wants_probe = false;
+        self.needs_probe = false;
         self.probes_sent += 1;
         let epoch = self.capacity.epoch();
         ProbeTicket { epoch, sent_ms: now_ms, number: self.probes_sent }
     }
 
     /// Tells whether a probe has to be sent at once, because attempts wait for its answer.
-    pub fn wants_probe(&self) -> bool {
-        self.wants_probe
+    pub fn needs_probe(&self) -> bool {
+        self.needs_probe
     }
 
     /// Tells whether a jump of the latency contradicts probes that report warmth.
@@ -55,7 +55,7 @@
                 }
             }
             ProbeResult::Refused => self.capacity.on_stop(),
-            ProbeResult::Silent => self.capacity.on_connect_failure(now_ms),
+            ProbeResult::NoAnswer => self.capacity.on_connect_failure(now_ms),
         }
         let Some(stop) = stop else { return Vec::new() };
         let agent = self.settings.incarnation;
--- a/crates/core/src/agent/stops.rs
+++ b/crates/core/src/agent/stops.rs
@@ -54,7 +54,7 @@
     /// Nothing listens on the upstream's address.
     Refused,
     /// The upstream did not answer in time.
-    Silent,
+    NoAnswer,
 }
 
 /// Accompanies a probe from its sending to its answer.
@@ -116,7 +116,7 @@
         let stopped = match result {
             ProbeResult::Answered { boot_id, .. } => self.take_boot_id(boot_id),
             ProbeResult::Refused => !std::mem::replace(&mut self.refused, true),
-            ProbeResult::Silent => return None,
+            ProbeResult::NoAnswer => return None,
         };
         let suspected = match &self.suspected {
             // A probe that was sent before the loss may have been answered before it, too.
--- a/crates/core/tests/agent_fuzz/main.rs
+++ b/crates/core/tests/agent_fuzz/main.rs
@@ -436,7 +436,7 @@
         sut.submit_in_time(request);
     }
     assert_eq!(sut.oracle.running.len(), COLD_LIMIT);
-    assert!(sut.core.wants_probe());
+    assert!(sut.core.needs_probe());
     sut.apply_event(Event::Probe { boot_id: 0, warm: false });
     assert_eq!(sut.oracle.running.len(), COLD_LIMIT);
 }
