--- a/crates/core/tests/agent_fuzz/main.rs
+++ b/crates/core/tests/agent_fuzz/main.rs
@@ -4,7 +4,7 @@
 mod harness;
 mod oracle;
 
-use harness::{Run, assert_holds};
+use harness::{Run, assert_invariants_hold};
 use proptest::prelude::*;
 use yuccatrail_core::{
     FastMap,
@@ -350,8 +350,8 @@
     AttemptId { request, stage: StageIndex(0), number: 0, entry: Incarnation(1) }
 }
 
-impl harness::World for Sut {
-    type Off = Sabotage;
+impl harness::Simulation for Sut {
+    type Mechanism = Sabotage;
     type Step = Event;
 
     fn new(off: Option<Sabotage>) -> Self {
@@ -384,7 +384,7 @@
 
 #[test]
 fn the_agent_keeps_its_promises() {
-    assert_holds::<Sut>(RUN);
+    assert_invariants_hold::<Sut>(RUN);
 }
 
 #[cfg(feature = "sabotage")]
@@ -403,7 +403,7 @@
         Sabotage::Ledger(sabotage::Sabotage::UnknownAfterEviction),
     ];
     for sabotage in mechanisms {
-        harness::assert_caught::<Sut>(RUN, sabotage);
+        harness::assert_detected::<Sut>(RUN, sabotage);
     }
 }
 
--- a/crates/core/tests/at_most_once_fuzz.rs
+++ b/crates/core/tests/at_most_once_fuzz.rs
@@ -408,8 +408,8 @@
         Sabotage::DispatchNumber,
         Sabotage::DispatchPermission,
     ] {
-        fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage), false));
+        fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage), false));
     }
     let sabotage = Sabotage::ReleaseUnsettled;
-    fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage), true));
+    fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage), true));
 }
--- a/crates/core/tests/attempt_fuzz.rs
+++ b/crates/core/tests/attempt_fuzz.rs
@@ -312,6 +312,6 @@
         Sabotage::DispatchLimit,
         Sabotage::UnknownAfterEviction,
     ] {
-        fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage)));
+        fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage)));
     }
 }
--- a/crates/core/tests/attempt_output_fuzz.rs
+++ b/crates/core/tests/attempt_output_fuzz.rs
@@ -212,8 +212,8 @@
 #[test]
 fn missing_mechanisms_are_noticed() {
     for sabotage in [Sabotage::ResultMatching, Sabotage::ChunkOrder, Sabotage::WholeAnswer] {
-        fuzz_support::assert_caught(sabotage, fuzz_pages(Some(sabotage)));
+        fuzz_support::assert_detected(sabotage, fuzz_pages(Some(sabotage)));
     }
     let sabotage = Sabotage::CreditOncePerStage;
-    fuzz_support::assert_caught(sabotage, fuzz_retries(Some(sabotage)));
+    fuzz_support::assert_detected(sabotage, fuzz_retries(Some(sabotage)));
 }
--- a/crates/core/tests/control_fuzz/main.rs
+++ b/crates/core/tests/control_fuzz/main.rs
@@ -9,7 +9,7 @@
 mod object;
 mod world;
 
-use harness::{Run, assert_holds, steps};
+use harness::{Run, assert_invariants_hold, steps};
 use object::Fate;
 use proptest::prelude::*;
 use world::{ControlWorld, PROCESSES};
@@ -43,8 +43,8 @@
     ]
 }
 
-impl harness::World for ControlWorld {
-    type Off = Sabotage;
+impl harness::Simulation for ControlWorld {
+    type Mechanism = Sabotage;
     type Step = Step;
 
     fn new(off: Option<Sabotage>) -> Self {
@@ -88,7 +88,7 @@
 
 #[test]
 fn control_state_never_falls_back_and_accepted_changes_stay() {
-    assert_holds::<ControlWorld>(RUN);
+    assert_invariants_hold::<ControlWorld>(RUN);
 }
 
 #[cfg(feature = "sabotage")]
@@ -104,6 +104,6 @@
         Sabotage::History,
         Sabotage::Gossip,
     ] {
-        harness::assert_caught::<ControlWorld>(RUN, off);
+        harness::assert_detected::<ControlWorld>(RUN, off);
     }
 }
--- a/crates/core/tests/crashes_fuzz.rs
+++ b/crates/core/tests/crashes_fuzz.rs
@@ -8,7 +8,7 @@
 
 use std::collections::BTreeSet;
 
-use harness::{Run, assert_holds, steps};
+use harness::{Run, assert_invariants_hold, steps};
 use proptest::prelude::*;
 use yuccatrail_core::{
     ids::{Digest, Incarnation},
@@ -118,8 +118,8 @@
     }
 }
 
-impl harness::World for Crashes {
-    type Off = CrashSabotage;
+impl harness::Simulation for Crashes {
+    type Mechanism = CrashSabotage;
     type Step = Step;
 
     fn new(off: Option<CrashSabotage>) -> Self {
@@ -171,7 +171,7 @@
 
 #[test]
 fn what_crashes_upstreams_is_stopped_and_nothing_else() {
-    assert_holds::<Crashes>(RUN);
+    assert_invariants_hold::<Crashes>(RUN);
 }
 
 #[cfg(feature = "sabotage")]
@@ -180,6 +180,6 @@
     use CrashSabotage::{EarlierCompletion, LaterCompletion, Merge};
 
     for off in [Merge, EarlierCompletion, LaterCompletion] {
-        harness::assert_caught::<Crashes>(RUN, off);
+        harness::assert_detected::<Crashes>(RUN, off);
     }
 }
--- a/crates/core/tests/drain_fuzz/main.rs
+++ b/crates/core/tests/drain_fuzz/main.rs
@@ -7,7 +7,7 @@
 mod harness;
 mod world;
 
-use harness::{Run, assert_holds, steps};
+use harness::{Run, assert_invariants_hold, steps};
 use proptest::{bool::weighted, prelude::*};
 use world::{AGENTS, DrainWorld, ENTRIES};
 use yuccatrail_core::drain::Sabotage;
@@ -31,8 +31,8 @@
     1 Stop { agent: usize = 0..AGENTS }
 }
 
-impl harness::World for DrainWorld {
-    type Off = Sabotage;
+impl harness::Simulation for DrainWorld {
+    type Mechanism = Sabotage;
     type Step = Step;
 
     fn new(off: Option<Sabotage>) -> Self {
@@ -85,7 +85,7 @@
 
 #[test]
 fn nothing_is_dispatched_after_the_bound() {
-    assert_holds::<DrainWorld>(RUN);
+    assert_invariants_hold::<DrainWorld>(RUN);
 }
 
 #[test]
@@ -115,6 +115,6 @@
         Sabotage::HandBack,
         Sabotage::AwaitWork,
     ] {
-        harness::assert_caught::<DrainWorld>(RUN, off);
+        harness::assert_detected::<DrainWorld>(RUN, off);
     }
 }
--- a/crates/core/tests/fuzz_support/mod.rs
+++ b/crates/core/tests/fuzz_support/mod.rs
@@ -49,7 +49,7 @@
 
 /// Asserts that the fuzz notices when a mechanism is missing.
 #[cfg(feature = "sabotage")]
-pub(crate) fn assert_caught(
+pub(crate) fn assert_detected(
     sabotage: yuccatrail_core::sabotage::Sabotage,
     result: Result<(), String>,
 ) {
--- a/crates/core/tests/harness/mod.rs
+++ b/crates/core/tests/harness/mod.rs
@@ -43,13 +43,13 @@
 pub(crate) use {sabotage, steps};
 
 /// A world that steps change and whose promises can be checked at any time.
-pub(crate) trait World: Sized + 'static {
+pub(crate) trait Simulation: Sized + 'static {
     /// A mechanism that can be off.
-    type Off: Copy + Debug + 'static;
+    type Mechanism: Copy + Debug + 'static;
     /// A step that changes the world.
     type Step: Clone + Debug + 'static;
 
-    fn new(off: Option<Self::Off>) -> Self;
+    fn new(off: Option<Self::Mechanism>) -> Self;
     fn step() -> BoxedStrategy<Self::Step>;
     fn apply(&mut self, step: Self::Step);
     fn check(&self);
@@ -70,8 +70,8 @@
 
 struct Machine<W>(PhantomData<W>);
 
-impl<W: World> ReferenceStateMachine for Machine<W> {
-    type State = Option<W::Off>;
+impl<W: Simulation> ReferenceStateMachine for Machine<W> {
+    type State = Option<W::Mechanism>;
     type Transition = W::Step;
 
     fn init_state() -> BoxedStrategy<Self::State> {
@@ -87,37 +87,37 @@
     }
 }
 
-impl<W: World> StateMachineTest for Machine<W> {
+impl<W: Simulation> StateMachineTest for Machine<W> {
     type SystemUnderTest = W;
     type Reference = Self;
 
-    fn init_test(off: &Option<W::Off>) -> W {
+    fn init_test(off: &Option<W::Mechanism>) -> W {
         W::new(*off)
     }
 
-    fn apply(mut world: W, _: &Option<W::Off>, step: W::Step) -> W {
+    fn apply(mut world: W, _: &Option<W::Mechanism>, step: W::Step) -> W {
         world.apply(step);
         world
     }
 
-    fn check_invariants(world: &W, _: &Option<W::Off>) {
+    fn check_invariants(world: &W, _: &Option<W::Mechanism>) {
         world.check();
     }
 
-    fn teardown(world: W, _: Option<W::Off>) {
+    fn teardown(world: W, _: Option<W::Mechanism>) {
         world.finish();
     }
 }
 
 /// Asserts that no case breaks a promise.
-pub(crate) fn assert_holds<W: World>(run: Run) {
+pub(crate) fn assert_invariants_hold<W: Simulation>(run: Run) {
     if let Err(error) = execute::<W>(run, None, u32::MAX, &Cell::new(0)) {
         panic!("seed {}: {error}", run.seed);
     }
 }
 
 /// Asserts that some case breaks a promise while a mechanism is off.
-pub(crate) fn assert_caught<W: World>(run: Run, off: W::Off) {
+pub(crate) fn assert_detected<W: Simulation>(run: Run, off: W::Mechanism) {
     let (executed, seed) = (Cell::new(0), run.seed);
     // One attempt to shrink is the least that the state machine strategy works with.
     match execute::<W>(run, Some(off), 1, &executed) {
@@ -128,9 +128,9 @@
     }
 }
 
-fn execute<W: World>(
+fn execute<W: Simulation>(
     run: Run,
-    off: Option<W::Off>,
+    off: Option<W::Mechanism>,
     max_shrink_iters: u32,
     executed: &Cell<u32>,
 ) -> Result<(), TestError<String>> {
--- a/crates/core/tests/membership_fuzz/main.rs
+++ b/crates/core/tests/membership_fuzz/main.rs
@@ -8,7 +8,7 @@
 mod harness;
 mod world;
 
-use harness::{Run, assert_holds, steps};
+use harness::{Run, assert_invariants_hold, steps};
 use proptest::prelude::*;
 use world::{FleetWorld, UPSTREAMS};
 use yuccatrail_core::membership::{InstanceState, Sabotage};
@@ -30,8 +30,8 @@
     3 EndWork { index: usize = 0..4_usize }
 }
 
-impl harness::World for FleetWorld {
-    type Off = Sabotage;
+impl harness::Simulation for FleetWorld {
+    type Mechanism = Sabotage;
     type Step = Step;
 
     fn new(off: Option<Sabotage>) -> Self {
@@ -74,7 +74,7 @@
 
 #[test]
 fn only_upstreams_in_service_get_work() {
-    assert_holds::<FleetWorld>(RUN);
+    assert_invariants_hold::<FleetWorld>(RUN);
 }
 
 #[cfg(feature = "sabotage")]
@@ -88,6 +88,6 @@
         Sabotage::ListedOnly,
         Sabotage::Operations,
     ] {
-        harness::assert_caught::<FleetWorld>(RUN, off);
+        harness::assert_detected::<FleetWorld>(RUN, off);
     }
 }
--- a/crates/core/tests/placement_fuzz/main.rs
+++ b/crates/core/tests/placement_fuzz/main.rs
@@ -8,7 +8,7 @@
 mod harness;
 mod world;
 
-use harness::{Run, assert_holds, steps};
+use harness::{Run, assert_invariants_hold, steps};
 use proptest::prelude::*;
 use world::{AGENTS, Fate, HOLDERS, LeaseWorld};
 use yuccatrail_core::placement::Sabotage;
@@ -41,8 +41,8 @@
     ]
 }
 
-impl harness::World for LeaseWorld {
-    type Off = Sabotage;
+impl harness::Simulation for LeaseWorld {
+    type Mechanism = Sabotage;
     type Step = Step;
 
     fn new(off: Option<Sabotage>) -> Self {
@@ -87,7 +87,7 @@
 
 #[test]
 fn no_engine_executes_an_older_order() {
-    assert_holds::<LeaseWorld>(RUN);
+    assert_invariants_hold::<LeaseWorld>(RUN);
 }
 
 #[cfg(feature = "sabotage")]
@@ -102,6 +102,6 @@
         Sabotage::FenceAfterRestart,
         Sabotage::SettleOrders,
     ] {
-        harness::assert_caught::<LeaseWorld>(RUN, off);
+        harness::assert_detected::<LeaseWorld>(RUN, off);
     }
 }
--- a/crates/core/tests/quarantine_fuzz.rs
+++ b/crates/core/tests/quarantine_fuzz.rs
@@ -303,6 +303,6 @@
         Sabotage::MergeStrikes,
         Sabotage::ClearCompleted,
     ] {
-        fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage)));
+        fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage)));
     }
 }
