--- a/crates/core/src/attempt/assembler.rs
+++ b/crates/core/src/attempt/assembler.rs
@@ -96,7 +96,7 @@
     pub fn whole(&self) -> Option<&Completion> {
         let completion = self.completion.as_ref()?;
         let arrived = self.next_sequence == completion.chunk_count;
-        (arrived || !self.mechanisms.has(Sabotage::WholeAnswer)).then_some(completion)
+        (arrived || !self.mechanisms.has(Sabotage::AnswerCompleteness)).then_some(completion)
     }
 
     /// Returns the number of pages dropped because they belong to another attempt or agent run.
--- a/crates/core/src/attempt/ledger.rs
+++ b/crates/core/src/attempt/ledger.rs
@@ -87,7 +87,7 @@
     pub fn submit(&mut self, attempt: AttemptId, dispatch_by_ms: u64, now_ms: u64) -> SubmitResult {
         self.advance(now_ms);
         if let Some(&key) = self.by_attempt.get(&attempt)
-            && self.mechanisms.has(Sabotage::JoinRepeatedSubmit)
+            && self.mechanisms.has(Sabotage::DeduplicateSubmits)
         {
             return match self.records[key].state {
                 RecordState::NotRun(refusal) => SubmitResult::NotRun(refusal),
--- a/crates/core/src/quarantine/registry.rs
+++ b/crates/core/src/quarantine/registry.rs
@@ -97,7 +97,7 @@
             strikes += 1;
             ran_alone |= strike.alone;
         }
-        ran_alone |= !self.mechanisms.has(Sabotage::CondemnOnlyAlone);
+        ran_alone |= !self.mechanisms.has(Sabotage::QuarantineOnlyAlone);
         if strikes >= self.limits.strikes && ran_alone {
             return Admission::Refused;
         }
@@ -121,7 +121,7 @@
         self.merge(strikes, now_ms);
         let admission = self.admit(fingerprint, now_ms);
         let is_unaware = admission == Admission::Alone && strikes.is_empty();
-        (!is_unaware || !self.mechanisms.has(Sabotage::RefuseUnawareSubmit)).then_some(admission)
+        (!is_unaware || !self.mechanisms.has(Sabotage::RefuseOutdatedSubmit)).then_some(admission)
     }
 
     /// Records that the upstream of the agent run `agent` stopped for the `number`th time.
--- a/crates/core/src/sabotage.rs
+++ b/crates/core/src/sabotage.rs
@@ -14,13 +14,13 @@
     /// Chunks are released as they arrive, whatever their sequence number.
     ChunkOrder,
     /// An answer counts as whole once its completion is seen.
-    WholeAnswer,
+    AnswerCompleteness,
     /// A cancel leaves no tombstone.
     Tombstone,
     /// Tombstones are evicted before the dispatch limit of their attempt.
     TombstoneRetention,
     /// A repeated submit starts a new record.
-    JoinRepeatedSubmit,
+    DeduplicateSubmits,
     /// The dispatch limit is not checked again before dispatch.
     DispatchLimit,
     /// An evicted attempt is reported as not run.
@@ -46,11 +46,11 @@
     /// The expiry of the dispatch permission is ignored.
     DispatchPermission,
     /// A stop condemns every request in progress after enough strikes, whether it ran alone or not.
-    CondemnOnlyAlone,
+    QuarantineOnlyAlone,
     /// A suspect is admitted like any other request.
     RunSuspectsAlone,
     /// An agent accepts a suspect whose entry did not know the strikes.
-    RefuseUnawareSubmit,
+    RefuseOutdatedSubmit,
     /// Strikes from peers are ignored.
     MergeStrikes,
     /// A completed suspect keeps its strikes.
--- a/crates/core/tests/agent_fuzz/main.rs
+++ b/crates/core/tests/agent_fuzz/main.rs
@@ -398,7 +398,7 @@
         Sabotage::Capacity(capacity::Sabotage::IgnoreReset),
         Sabotage::Gate(drain::Sabotage::Operations),
         Sabotage::Gate(drain::Sabotage::PauseDetection),
-        Sabotage::Ledger(sabotage::Sabotage::JoinRepeatedSubmit),
+        Sabotage::Ledger(sabotage::Sabotage::DeduplicateSubmits),
         Sabotage::Ledger(sabotage::Sabotage::Tombstone),
         Sabotage::Ledger(sabotage::Sabotage::UnknownAfterEviction),
     ];
--- a/crates/core/tests/attempt_fuzz.rs
+++ b/crates/core/tests/attempt_fuzz.rs
@@ -308,7 +308,7 @@
     for sabotage in [
         Sabotage::Tombstone,
         Sabotage::TombstoneRetention,
-        Sabotage::JoinRepeatedSubmit,
+        Sabotage::DeduplicateSubmits,
         Sabotage::DispatchLimit,
         Sabotage::UnknownAfterEviction,
     ] {
--- a/crates/core/tests/attempt_output_fuzz.rs
+++ b/crates/core/tests/attempt_output_fuzz.rs
@@ -211,7 +211,7 @@
 #[cfg(feature = "sabotage")]
 #[test]
 fn missing_mechanisms_are_noticed() {
-    for sabotage in [Sabotage::ResultMatching, Sabotage::ChunkOrder, Sabotage::WholeAnswer] {
+    for sabotage in [Sabotage::ResultMatching, Sabotage::ChunkOrder, Sabotage::AnswerCompleteness] {
         fuzz_support::assert_detected(sabotage, fuzz_pages(Some(sabotage)));
     }
     let sabotage = Sabotage::CreditOncePerStage;
--- a/crates/core/tests/quarantine_fuzz.rs
+++ b/crates/core/tests/quarantine_fuzz.rs
@@ -297,9 +297,9 @@
 #[test]
 fn missing_mechanisms_are_noticed() {
     for sabotage in [
-        Sabotage::CondemnOnlyAlone,
+        Sabotage::QuarantineOnlyAlone,
         Sabotage::RunSuspectsAlone,
-        Sabotage::RefuseUnawareSubmit,
+        Sabotage::RefuseOutdatedSubmit,
         Sabotage::MergeStrikes,
         Sabotage::ClearCompleted,
     ] {
