--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -201,7 +201,7 @@
         }
         let key = match self.ledger.submit(submission.attempt, submission.dispatch_by_ms, now_ms) {
             SubmitResult::Queued(key) => key,
-            SubmitResult::Joined(_) => return self.read(submission.attempt, 0, 0),
+            SubmitResult::Duplicate(_) => return self.read(submission.attempt, 0, 0),
             SubmitResult::NotRun(refusal) => return AttemptLookup::NotRun(refusal),
             SubmitResult::Unknown => return AttemptLookup::Unknown,
         };
@@ -280,7 +280,7 @@
 
     /// Returns the strikes to pass on.
     pub fn recent_strikes(&self, now_ms: u64) -> Vec<Strike> {
-        self.quarantine.recent(now_ms)
+        self.quarantine.recent_strikes(now_ms)
     }
 
     /// Does the periodic work; it has to be called more often than the pause limit.
@@ -298,7 +298,7 @@
             running: self.calls.len() as u32,
             queued: self.queue.queued(),
             limit: self.capacity.limit(),
-            outlook: self.capacity.outlook(),
+            projected_limit: self.capacity.projected_limit(),
             cold: self.capacity.is_cold(),
             draining: self.gate.is_draining(),
         }
@@ -332,7 +332,7 @@
 
     fn set_document(&mut self, document: &Document) {
         for Customer { name, share } in &document.customers {
-            self.queue.customer(name, *share);
+            self.queue.register_customer(name, *share);
         }
         self.quarantine.set_strike_limit(document.limits.quarantine_strikes);
         let Some(pool) = document.pool(&self.settings.pool) else { return };
@@ -357,17 +357,17 @@
             self.quarantine.admit_submit(submission.fingerprint, &submission.strikes, now_ms);
         let alone = match admission {
             Some(Admission::Normal) => false,
-            Some(Admission::Alone) => true,
+            Some(Admission::Exclusive) => true,
             Some(Admission::Refused) => return Err(Reason::Quarantined),
             None => return Err(Reason::Suspected),
         };
         let entry = QueueEntry {
             attempt: submission.attempt,
-            customer: self.queue.customer(&submission.customer, 1),
+            customer: self.queue.register_customer(&submission.customer, 1),
             deadline_ms: submission.deadline_ms,
             dispatch_by_ms: submission.dispatch_by_ms,
             estimate_ms: submission.estimate_ms,
-            alone,
+            exclusive: alone,
         };
         self.push(key, entry, submission.fingerprint, now_ms)
     }
--- a/crates/fakes/src/model/agent.rs
+++ b/crates/fakes/src/model/agent.rs
@@ -64,7 +64,7 @@
     ) -> Self {
         let mut queue = Queue::new(spec.max_queued);
         let customers =
-            fleet.customers.iter().map(|it| queue.customer(it.name, it.share)).collect();
+            fleet.customers.iter().map(|it| queue.register_customer(it.name, it.share)).collect();
         Self {
             pool,
             data_centre,
@@ -88,12 +88,26 @@
         if self.mode == Mode::Baseline {
             let queued = self.fifo.len() as u32;
             let limit = self.concurrency;
-            return LoadReport { running, queued, limit, outlook: limit, cold: false, draining };
+            return LoadReport {
+                running,
+                queued,
+                limit,
+                projected_limit: limit,
+                cold: false,
+                draining,
+            };
         }
         let queued = self.queue.queued();
         let limit = self.capacity.limit();
-        let outlook = self.capacity.outlook();
-        LoadReport { running, queued, limit, outlook, cold: self.capacity.is_cold(), draining }
+        let projected_limit = self.capacity.projected_limit();
+        LoadReport {
+            running,
+            queued,
+            limit,
+            projected_limit,
+            cold: self.capacity.is_cold(),
+            draining,
+        }
     }
 
     /// Queues an attempt; returns the one that made room for it.
@@ -115,7 +129,7 @@
             deadline_ms: it.deadline_ms,
             dispatch_by_ms: it.deadline_ms,
             estimate_ms: it.estimate_ms,
-            alone: false,
+            exclusive: false,
         };
         let pushed = self.queue.push(now_us / US_PER_MS, entry)?;
         self.waiting.insert(pushed.key, it.attempt);
@@ -152,7 +166,7 @@
         }
 
         self.capacity.on_tick(now_ms);
-        if !self.capacity.has_room() {
+        if !self.capacity.can_start() {
             return None;
         }
         let next = self.queue.pop(now_ms)?;
