--- a/crates/core/tests/agent_fuzz/main.rs
+++ b/crates/core/tests/agent_fuzz/main.rs
@@ -4,7 +4,7 @@
 mod harness;
 mod oracle;
 
-use harness::{Run, assert_invariants_hold};
+use harness::{FuzzSettings, assert_invariants_hold};
 use proptest::prelude::*;
 use yuccatrail_core::{
     FastMap,
@@ -18,7 +18,7 @@
 
 use crate::oracle::{Oracle, ShownWarm};
 
-const RUN: Run = Run { seed: 9_001, cases: 256, steps: 300 };
+const FUZZ: FuzzSettings = FuzzSettings { seed: 9_001, cases: 256, steps: 300 };
 const AGENT: Incarnation = Incarnation(7);
 const RETENTION_MS: u64 = 100;
 const EVIDENCE_AGE_MS: u64 = 5;
@@ -384,7 +384,7 @@
 
 #[test]
 fn the_agent_keeps_its_promises() {
-    assert_invariants_hold::<Sut>(RUN);
+    assert_invariants_hold::<Sut>(FUZZ);
 }
 
 #[cfg(feature = "sabotage")]
@@ -403,7 +403,7 @@
         Sabotage::Ledger(sabotage::Sabotage::UnknownAfterEviction),
     ];
     for sabotage in mechanisms {
-        harness::assert_detected::<Sut>(RUN, sabotage);
+        harness::assert_detected::<Sut>(FUZZ, sabotage);
     }
 }
 
--- a/crates/core/tests/control_fuzz/main.rs
+++ b/crates/core/tests/control_fuzz/main.rs
@@ -9,13 +9,13 @@
 mod object;
 mod world;
 
-use harness::{Run, assert_invariants_hold, steps};
+use harness::{FuzzSettings, assert_invariants_hold, steps};
 use object::Fate;
 use proptest::prelude::*;
 use world::{ControlWorld, PROCESSES};
 use yuccatrail_core::control::Sabotage;
 
-const RUN: Run = Run { seed: 1, cases: 1_000, steps: 120 };
+const FUZZ: FuzzSettings = FuzzSettings { seed: 1, cases: 1_000, steps: 120 };
 
 steps! {
     3 Promote { text: u8 = 0..4_u8, is_strict: bool = any::<bool>() }
@@ -88,7 +88,7 @@
 
 #[test]
 fn control_state_never_falls_back_and_accepted_changes_stay() {
-    assert_invariants_hold::<ControlWorld>(RUN);
+    assert_invariants_hold::<ControlWorld>(FUZZ);
 }
 
 #[cfg(feature = "sabotage")]
@@ -104,6 +104,6 @@
         Sabotage::History,
         Sabotage::Gossip,
     ] {
-        harness::assert_detected::<ControlWorld>(RUN, off);
+        harness::assert_detected::<ControlWorld>(FUZZ, off);
     }
 }
--- a/crates/core/tests/crashes_fuzz.rs
+++ b/crates/core/tests/crashes_fuzz.rs
@@ -8,14 +8,14 @@
 
 use std::collections::BTreeSet;
 
-use harness::{Run, assert_invariants_hold, steps};
+use harness::{FuzzSettings, assert_invariants_hold, steps};
 use proptest::prelude::*;
 use yuccatrail_core::{
     ids::{Digest, Incarnation},
     quarantine::{CRASH_LIMIT, CrashSabotage, CrashTracker, RequestHash},
 };
 
-const RUN: Run = Run { seed: 7_607, cases: 1_000, steps: 120 };
+const FUZZ: FuzzSettings = FuzzSettings { seed: 7_607, cases: 1_000, steps: 120 };
 const ENTRIES: usize = 4;
 const UPSTREAMS: usize = 4;
 const REQUESTS: usize = 5;
@@ -171,7 +171,7 @@
 
 #[test]
 fn what_crashes_upstreams_is_stopped_and_nothing_else() {
-    assert_invariants_hold::<Crashes>(RUN);
+    assert_invariants_hold::<Crashes>(FUZZ);
 }
 
 #[cfg(feature = "sabotage")]
@@ -180,6 +180,6 @@
     use CrashSabotage::{EarlierCompletion, LaterCompletion, Merge};
 
     for off in [Merge, EarlierCompletion, LaterCompletion] {
-        harness::assert_detected::<Crashes>(RUN, off);
+        harness::assert_detected::<Crashes>(FUZZ, off);
     }
 }
--- a/crates/core/tests/drain_fuzz/main.rs
+++ b/crates/core/tests/drain_fuzz/main.rs
@@ -7,12 +7,12 @@
 mod harness;
 mod world;
 
-use harness::{Run, assert_invariants_hold, steps};
+use harness::{FuzzSettings, assert_invariants_hold, steps};
 use proptest::{bool::weighted, prelude::*};
 use world::{AGENTS, DrainWorld, ENTRIES};
 use yuccatrail_core::drain::Sabotage;
 
-const RUN: Run = Run { seed: 2, cases: 1_000, steps: 100 };
+const FUZZ: FuzzSettings = FuzzSettings { seed: 2, cases: 1_000, steps: 100 };
 
 steps! {
     12 Advance { ticks: u64 = 1..24_u64 }
@@ -85,7 +85,7 @@
 
 #[test]
 fn nothing_is_dispatched_after_the_bound() {
-    assert_invariants_hold::<DrainWorld>(RUN);
+    assert_invariants_hold::<DrainWorld>(FUZZ);
 }
 
 #[test]
@@ -115,6 +115,6 @@
         Sabotage::HandBack,
         Sabotage::AwaitWork,
     ] {
-        harness::assert_detected::<DrainWorld>(RUN, off);
+        harness::assert_detected::<DrainWorld>(FUZZ, off);
     }
 }
--- a/crates/core/tests/harness/mod.rs
+++ b/crates/core/tests/harness/mod.rs
@@ -59,7 +59,7 @@
 
 /// Settings of one run.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Run {
+pub(crate) struct FuzzSettings {
     /// Seed of the random numbers.
     pub(crate) seed: u64,
     /// Number of cases; the variable `PROPTEST_CASES` may raise it.
@@ -110,17 +110,17 @@
 }
 
 /// Asserts that no case breaks a promise.
-pub(crate) fn assert_invariants_hold<W: Simulation>(run: Run) {
-    if let Err(error) = execute::<W>(run, None, u32::MAX, &Cell::new(0)) {
-        panic!("seed {}: {error}", run.seed);
+pub(crate) fn assert_invariants_hold<W: Simulation>(settings: FuzzSettings) {
+    if let Err(error) = execute::<W>(settings, None, u32::MAX, &Cell::new(0)) {
+        panic!("seed {}: {error}", settings.seed);
     }
 }
 
 /// Asserts that some case breaks a promise while a mechanism is off.
-pub(crate) fn assert_detected<W: Simulation>(run: Run, off: W::Mechanism) {
-    let (executed, seed) = (Cell::new(0), run.seed);
+pub(crate) fn assert_detected<W: Simulation>(settings: FuzzSettings, off: W::Mechanism) {
+    let (executed, seed) = (Cell::new(0), settings.seed);
     // One attempt to shrink is the least that the state machine strategy works with.
-    match execute::<W>(run, Some(off), 1, &executed) {
+    match execute::<W>(settings, Some(off), 1, &executed) {
         Err(TestError::Fail(reason, _)) => {
             println!("{off:?}: seed {seed}: caught within {} cases: {reason}", executed.get());
         }
@@ -129,13 +129,13 @@
 }
 
 fn execute<W: Simulation>(
-    run: Run,
+    settings: FuzzSettings,
     off: Option<W::Mechanism>,
     max_shrink_iters: u32,
     executed: &Cell<u32>,
 ) -> Result<(), TestError<String>> {
-    let config = Config { max_shrink_iters, ..config(run.seed, run.cases) };
-    let strategy = Machine::<W>::sequential_strategy(1..run.steps);
+    let config = Config { max_shrink_iters, ..config(settings.seed, settings.cases) };
+    let strategy = Machine::<W>::sequential_strategy(1..settings.steps);
     let outcome = TestRunner::new(config.clone()).run(&strategy, |(_, steps, seen)| {
         executed.set(executed.get() + 1);
         Machine::<W>::test_sequential(config.clone(), off, steps, seen);
--- a/crates/core/tests/membership_fuzz/main.rs
+++ b/crates/core/tests/membership_fuzz/main.rs
@@ -8,12 +8,12 @@
 mod harness;
 mod world;
 
-use harness::{Run, assert_invariants_hold, steps};
+use harness::{FuzzSettings, assert_invariants_hold, steps};
 use proptest::prelude::*;
 use world::{FleetWorld, UPSTREAMS};
 use yuccatrail_core::membership::{InstanceState, Sabotage};
 
-const RUN: Run = Run { seed: 4, cases: 1_000, steps: 120 };
+const FUZZ: FuzzSettings = FuzzSettings { seed: 4, cases: 1_000, steps: 120 };
 
 steps! {
     4 Publish { is_delivered: bool = any::<bool>() }
@@ -74,7 +74,7 @@
 
 #[test]
 fn only_upstreams_in_service_get_work() {
-    assert_invariants_hold::<FleetWorld>(RUN);
+    assert_invariants_hold::<FleetWorld>(FUZZ);
 }
 
 #[cfg(feature = "sabotage")]
@@ -88,6 +88,6 @@
         Sabotage::ListMembership,
         Sabotage::Operations,
     ] {
-        harness::assert_detected::<FleetWorld>(RUN, off);
+        harness::assert_detected::<FleetWorld>(FUZZ, off);
     }
 }
--- a/crates/core/tests/placement_fuzz/main.rs
+++ b/crates/core/tests/placement_fuzz/main.rs
@@ -8,12 +8,12 @@
 mod harness;
 mod world;
 
-use harness::{Run, assert_invariants_hold, steps};
+use harness::{FuzzSettings, assert_invariants_hold, steps};
 use proptest::prelude::*;
 use world::{AGENTS, Fate, HOLDERS, LeaseWorld};
 use yuccatrail_core::placement::Sabotage;
 
-const RUN: Run = Run { seed: 3, cases: 1_000, steps: 200 };
+const FUZZ: FuzzSettings = FuzzSettings { seed: 3, cases: 1_000, steps: 200 };
 
 steps! {
     12 Advance { by_ms: u64 = 1..300_u64 }
@@ -87,7 +87,7 @@
 
 #[test]
 fn no_engine_executes_an_older_order() {
-    assert_invariants_hold::<LeaseWorld>(RUN);
+    assert_invariants_hold::<LeaseWorld>(FUZZ);
 }
 
 #[cfg(feature = "sabotage")]
@@ -102,6 +102,6 @@
         Sabotage::FenceAfterRestart,
         Sabotage::SettleOrders,
     ] {
-        harness::assert_detected::<LeaseWorld>(RUN, off);
+        harness::assert_detected::<LeaseWorld>(FUZZ, off);
     }
 }
