--- a/crates/core/tests/quarantine_fuzz.rs
+++ b/crates/core/tests/quarantine_fuzz.rs
@@ -299,12 +299,12 @@
 #[test]
 fn missing_mechanisms_are_noticed() {
     for sabotage in [
-        Sabotage::CondemnOnlyAlone,
+        Sabotage::QuarantineOnlyAlone,
         Sabotage::RunSuspectsAlone,
-        Sabotage::RefuseUnawareSubmit,
+        Sabotage::RefuseOutdatedSubmit,
         Sabotage::MergeStrikes,
         Sabotage::ClearCompleted,
     ] {
-        fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage)));
+        fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage)));
     }
 }
