--- a/crates/entry/src/relay/attempt.rs
+++ b/crates/entry/src/relay/attempt.rs
@@ -6,7 +6,7 @@
 use derive_more::{Display, Error};
 use http_body_util::{BodyExt, Full};
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri, body::Incoming};
-use yuccatrail_adapter::{UpstreamAnswer, decode_answer, system_headers};
+use yuccatrail_adapter::{ResponseMeta, decode_response_meta, system_headers};
 use yuccatrail_core::upstreams::{CallEnd, UpstreamKey, UpstreamRecord};
 
 use crate::relay::{
@@ -91,7 +91,7 @@
     pub(crate) async fn send(
         &mut self,
         outgoing: &Outgoing,
-    ) -> Result<(Response<Incoming>, UpstreamAnswer), AttemptError> {
+    ) -> Result<(Response<Incoming>, ResponseMeta), AttemptError> {
         let sent = self.send_on_any_connection(outgoing).await;
         let response = match sent {
             Ok(response) => response,
@@ -111,17 +111,17 @@
         };
         let now_ms = self.relay.now_ms();
         self.latency_ms = now_ms.saturating_sub(self.started_ms) as f64;
-        let answer = decode_answer(response.status(), response.headers());
-        self.observe(&answer, now_ms);
-        let is_other = answer.request_id.is_some() && answer.request_id != outgoing.request_id;
+        let meta = decode_response_meta(response.status(), response.headers());
+        self.observe(&meta, now_ms);
+        let is_other = meta.request_id.is_some() && meta.request_id != outgoing.request_id;
         if outgoing.request_id.is_some() && is_other && !Mechanism::OwnAnswer.is_off() {
             self.end(CallEnd::Failed);
             return Err(AttemptError::Damaged("it belongs to another request".to_owned()));
         }
-        if answer.is_not_run {
-            self.end(if answer.is_replaced { CallEnd::Replaced } else { CallEnd::Shed });
+        if meta.is_not_run {
+            self.end(if meta.is_replaced { CallEnd::Replaced } else { CallEnd::Shed });
         }
-        Ok((response, answer))
+        Ok((response, meta))
     }
 
     /// Makes a call of the system's own and reads its whole answer.
@@ -129,7 +129,7 @@
         &mut self,
         path: &'static str,
         body: Bytes,
-    ) -> Result<(StatusCode, UpstreamAnswer, Bytes), AttemptError> {
+    ) -> Result<(StatusCode, ResponseMeta, Bytes), AttemptError> {
         let outgoing = Outgoing {
             method: Method::POST,
             uri: Uri::from_static(path),
@@ -137,23 +137,23 @@
             body,
             request_id: None,
         };
-        let (response, answer) = self.send(&outgoing).await?;
+        let (response, meta) = self.send(&outgoing).await?;
         let status = response.status();
         let body = response.into_body().collect().await;
         let body = body.map_err(|error| AttemptError::Lost(error.to_string()))?;
-        Ok((status, answer, body.to_bytes()))
+        Ok((status, meta, body.to_bytes()))
     }
 
     /// Notes that the whole answer was read and keeps the connection.
-    pub(crate) fn finish(mut self, answer: &UpstreamAnswer) {
+    pub(crate) fn finish(mut self, meta: &ResponseMeta) {
         let latency_ms = self.latency_ms;
         self.end(CallEnd::Answered { latency_ms });
         let Some(connection) = self.connection.take() else { return };
-        if answer.closes {
+        if meta.closes_connection {
             return;
         }
         let now_ms = self.relay.now_ms();
-        self.relay.pool.keep(self.key, connection, answer.idle_timeout_ms, now_ms);
+        self.relay.pool.keep(self.key, connection, meta.idle_timeout_ms, now_ms);
     }
 
     /// Notes that the upstream failed the call, and closes the connection.
@@ -187,12 +187,12 @@
         connection.send(outgoing.to_request()).await
     }
 
-    fn observe(&self, answer: &UpstreamAnswer, now_ms: u64) {
+    fn observe(&self, meta: &ResponseMeta, now_ms: u64) {
         let mut upstreams = self.relay.upstreams();
-        if let Some(load) = answer.load {
+        if let Some(load) = meta.load {
             upstreams.observe_load(self.key, load, now_ms);
         }
-        if let Some(remaining_ms) = answer.cold_remaining_ms {
+        if let Some(remaining_ms) = meta.cold_remaining_ms {
             upstreams.observe_cold(self.key, remaining_ms, now_ms);
         }
     }
@@ -208,11 +208,8 @@
 }
 
 /// Checks that a success comes from the upstream as it is.
-pub(crate) fn check_signature(
-    status: StatusCode,
-    answer: &UpstreamAnswer,
-) -> Result<(), AttemptError> {
-    if status.is_success() && (!answer.is_sealed || answer.is_encoded) {
+pub(crate) fn check_signature(status: StatusCode, meta: &ResponseMeta) -> Result<(), AttemptError> {
+    if status.is_success() && (!meta.is_sealed || meta.has_content_encoding) {
         return Err(AttemptError::Damaged("it lacks the upstream's signature".to_owned()));
     }
     Ok(())
--- a/crates/entry/src/relay/model.rs
+++ b/crates/entry/src/relay/model.rs
@@ -5,7 +5,7 @@
 use futures::{StreamExt, stream::FuturesUnordered};
 use hyper::Response;
 use log::info;
-use yuccatrail_adapter::maker_of;
+use yuccatrail_adapter::result_holder;
 use yuccatrail_core::{
     batching::{GroupEnd, Home, PieceSource, StageWork},
     stage_graph::{ReadyStage, ResultHandle, StageGraph},
@@ -268,7 +268,7 @@
         .flat_map(|it| std::iter::repeat_n(stages[*it].result_bytes, graph.pieces(*it)));
     let upstreams = relay.upstreams();
     for (input, bytes) in ready.inputs.iter().flatten().zip(sizes) {
-        let place = maker_of(input).and_then(|it| upstreams.data_centre_at(it));
+        let place = result_holder(input).and_then(|it| upstreams.data_centre_at(it));
         shares.extend(place.map(|it| (it.clone(), bytes)));
     }
     shares
--- a/crates/entry/src/relay/plain.rs
+++ b/crates/entry/src/relay/plain.rs
@@ -6,7 +6,7 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Response, StatusCode};
 use log::{info, warn};
-use yuccatrail_adapter::{UpstreamAnswer, passed_on};
+use yuccatrail_adapter::{ResponseMeta, forwarded_headers};
 use yuccatrail_core::upstreams::{UpstreamKey, Wanted};
 
 use crate::relay::{
@@ -64,8 +64,8 @@
         let outcome =
             outcome.unwrap_or_else(|_| Err(AttemptError::Lost(format!("none in {limit_ms} ms"))));
         match outcome {
-            Ok((result, answer)) => {
-                attempt.finish(&answer);
+            Ok((result, meta)) => {
+                attempt.finish(&meta);
                 arrivals += 1;
                 match result {
                     Tried::Answer(response) => {
@@ -159,16 +159,16 @@
     relay: &Relay,
     request: &CallerRequest,
     attempt: &mut Attempt,
-) -> Result<(Tried, UpstreamAnswer), AttemptError> {
+) -> Result<(Tried, ResponseMeta), AttemptError> {
     let outgoing = request.outgoing(&attempt.record, relay.now_ms(), None, None);
-    let (response, answer) = request.send(attempt, &outgoing).await?;
+    let (response, meta) = request.send(attempt, &outgoing).await?;
     let (parts, body) = response.into_parts();
     let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     let body = body.map_err(|error| AttemptError::Lost(error.to_string()))?.to_bytes();
-    if answer.is_not_run {
-        return Ok((Tried::NotRun, answer));
+    if meta.is_not_run {
+        return Ok((Tried::NotRun, meta));
     }
-    check_signature(parts.status, &answer)?;
+    check_signature(parts.status, &meta)?;
     let response = pass_on(parts.status, &parts.headers, body);
     let tried = if parts.status.is_server_error() {
         Tried::Failure(response)
@@ -184,13 +184,13 @@
         took_ms = took_ms;
         "upstream answered"
     );
-    Ok((tried, answer))
+    Ok((tried, meta))
 }
 
 fn pass_on(status: StatusCode, headers: &hyper::HeaderMap, body: Bytes) -> Response<AnswerBody> {
     let body = Full::new(body).map_err(|never| match never {}).boxed_unsync();
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    *response.headers_mut() = passed_on(headers);
+    *response.headers_mut() = forwarded_headers(headers);
     response
 }
--- a/crates/entry/src/relay/platform_check.rs
+++ b/crates/entry/src/relay/platform_check.rs
@@ -6,7 +6,7 @@
 
 use log::{info, warn};
 use tokio_util::sync::CancellationToken;
-use yuccatrail_adapter::entry_check_path;
+use yuccatrail_adapter::entry_stale_read_path;
 use yuccatrail_platform::{CallKind, Client, PlatformError, PollSuspicion};
 
 use crate::relay::state::Relay;
@@ -14,7 +14,7 @@
 /// Reads the own record again and again, and makes the feeds list again where no answer comes.
 pub(crate) async fn check(relay: Arc<Relay>, client: Client, stop: CancellationToken) {
     let name = &relay.settings.name;
-    let path = entry_check_path(name);
+    let path = entry_stale_read_path(name);
     let mut suspicion = PollSuspicion::default();
     while !stop.is_cancelled() {
         let failure = match client.read(CallKind::Read, name, &path, 0).await {
--- a/crates/entry/src/relay/release.rs
+++ b/crates/entry/src/relay/release.rs
@@ -7,7 +7,7 @@
 };
 
 use log::warn;
-use yuccatrail_adapter::{FREE_PATH, encode_free, maker_of};
+use yuccatrail_adapter::{RELEASE_PATH, encode_release, result_holder};
 use yuccatrail_core::{FastMap, stage_graph::ResultHandle, upstreams::UpstreamKey};
 
 use crate::relay::{
@@ -97,7 +97,7 @@
 fn sort_in(waiting: &Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>, handles: Vec<ResultHandle>) {
     let mut waiting = lock(waiting);
     for handle in handles {
-        let Some(maker) = maker_of(&handle) else {
+        let Some(maker) = result_holder(&handle) else {
             warn!(handle:% = handle; "result names no maker; it expires by itself");
             continue;
         };
@@ -120,7 +120,7 @@
 }
 
 async fn release(relay: Arc<Relay>, key: UpstreamKey, handles: Vec<ResultHandle>) {
-    let body = match encode_free(&handles) {
+    let body = match encode_release(&handles) {
         Ok(body) => body,
         Err(error) => {
             warn!(error:% = error; "release can't be encoded; the results expire by themselves");
@@ -128,9 +128,9 @@
         }
     };
     let Some(mut attempt) = Attempt::begin(&relay, key) else { return };
-    match attempt.post(FREE_PATH, body).await {
-        Ok((_, answer, _)) => {
-            attempt.finish(&answer);
+    match attempt.post(RELEASE_PATH, body).await {
+        Ok((_, meta, _)) => {
+            attempt.finish(&meta);
             relay.stages.note_released(&relay, &handles);
         }
         Err(error) => {
--- a/crates/entry/src/relay/request.rs
+++ b/crates/entry/src/relay/request.rs
@@ -13,7 +13,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri, body::Incoming, header};
 use log::info;
 use yuccatrail_adapter::{
-    CallHead, CallerHead, UpstreamAnswer, decode_caller, retry_after, upstream_headers,
+    AddedHeaders, CallerHeaders, ResponseMeta, decode_caller_headers, retry_after, upstream_headers,
 };
 use yuccatrail_core::{
     outcome::Execution,
@@ -54,7 +54,7 @@
     /// Identifier that the caller gave it.
     pub(crate) id: String,
     /// What its head says.
-    pub(crate) head: CallerHead,
+    pub(crate) head: CallerHeaders,
     /// Route and customer.
     pub(crate) admission: Admission,
     /// Service that was chosen for it.
@@ -126,12 +126,12 @@
         &self,
         attempt: &mut Attempt,
         outgoing: &Outgoing,
-    ) -> Result<(Response<Incoming>, UpstreamAnswer), AttemptError> {
+    ) -> Result<(Response<Incoming>, ResponseMeta), AttemptError> {
         // Counted before the first byte, so that a cancelled call counts as one that may have run.
         self.sent.fetch_add(1, Ordering::Relaxed);
         let sent = attempt.send(outgoing).await;
         let is_not_run = match &sent {
-            Ok((_, answer)) => answer.is_not_run,
+            Ok((_, meta)) => meta.is_not_run,
             Err(error) => matches!(error, AttemptError::Unreachable(_)),
         };
         if is_not_run {
@@ -148,7 +148,7 @@
         inputs: Option<String>,
         last_event_id: Option<u64>,
     ) -> Outgoing {
-        let call = CallHead {
+        let call = AddedHeaders {
             upstream_id: &upstream.id,
             remaining_ms: self.remaining_ms(now_ms),
             customer: self.admission.customer.as_deref(),
@@ -208,7 +208,7 @@
     let arrived_ms = relay.now_ms();
     relay.until_fresh().await;
     let (parts, body) = request.into_parts();
-    let head = decode_caller(&parts.headers);
+    let head = decode_caller_headers(&parts.headers);
     // A request may come without an identifier; its log lines then show an empty one.
     let id = head.request_id.clone().unwrap_or_default();
     let Some(table) = relay.table() else {
@@ -287,7 +287,7 @@
     table: &RouteTable,
     headers: &HeaderMap,
     uri: &Uri,
-    head: &CallerHead,
+    head: &CallerHeaders,
 ) -> Result<Admission, Problem> {
     let stated = headers.get(header::HOST).and_then(|it| it.to_str().ok());
     let Some(host) = stated.or_else(|| uri.host()) else {
--- a/crates/entry/src/relay/stages.rs
+++ b/crates/entry/src/relay/stages.rs
@@ -9,7 +9,7 @@
 use log::{info, warn};
 use tokio::sync::oneshot;
 use yuccatrail_adapter::{
-    STAGE_PATH, StageCallItem, decode_stage_results, encode_stage_call, maker_of,
+    STAGE_PATH, StageCallItem, decode_stage_results, encode_stage_call, result_holder,
 };
 use yuccatrail_core::{
     FastMap,
@@ -288,7 +288,7 @@
             return;
         }
         let is_wanted_back = |handle: &ResultHandle| {
-            let Some(maker) = maker_of(handle) else { return false };
+            let Some(maker) = result_holder(handle) else { return false };
             relay.upstreams().service_at(maker).is_some_and(|it| pressed.contains(it))
         };
         let handles = match lock(&self.queues).get_mut(&call.service) {
@@ -409,7 +409,7 @@
     let Some(mut attempt) = Attempt::begin(relay, call.order.engine) else {
         return CallResult::Full;
     };
-    let (status, answer, body) = match attempt.post(STAGE_PATH, body).await {
+    let (status, meta, body) = match attempt.post(STAGE_PATH, body).await {
         Ok(answered) => answered,
         Err(error) => {
             log_failure(&attempt, &error);
@@ -417,13 +417,13 @@
             return CallResult::Failed;
         }
     };
-    if answer.is_not_run {
-        attempt.finish(&answer);
+    if meta.is_not_run {
+        attempt.finish(&meta);
         return CallResult::Full;
     }
     let detail = match decode_stage_results(&body, call.order.pieces.len()) {
         Ok(results) if status.is_success() => {
-            attempt.finish(&answer);
+            attempt.finish(&meta);
             return CallResult::Answered(results);
         }
         Ok(_) => format!("status {status}"),
--- a/crates/entry/src/relay/stream.rs
+++ b/crates/entry/src/relay/stream.rs
@@ -14,7 +14,7 @@
     body::{Frame, Incoming},
 };
 use log::{info, warn};
-use yuccatrail_adapter::{UpstreamAnswer, passed_on};
+use yuccatrail_adapter::{ResponseMeta, forwarded_headers};
 use yuccatrail_core::{
     event_stream::{EventCutter, EventId},
     stage_graph::ResultHandle,
@@ -78,7 +78,7 @@
 /// The upstream's side of a stream.
 struct Source {
     attempt: Attempt,
-    answer: UpstreamAnswer,
+    meta: ResponseMeta,
     body: Incoming,
 }
 
@@ -201,18 +201,18 @@
         let inputs = (!self.call.inputs.is_empty()).then(|| self.call.inputs.join(","));
         let now_ms = relay.now_ms();
         let outgoing = request.outgoing(&attempt.record, now_ms, inputs, self.last_id);
-        let (response, answer) = request.send(&mut attempt, &outgoing).await?;
+        let (response, meta) = request.send(&mut attempt, &outgoing).await?;
         let (parts, mut body) = response.into_parts();
-        if answer.is_not_run {
+        if meta.is_not_run {
             // Only a whole answer leaves the connection usable.
             let is_whole = body.collect().await.is_ok();
-            let tried = if answer.is_input_gone { Tried::InputGone } else { Tried::NotRun };
+            let tried = if meta.is_input_gone { Tried::InputGone } else { Tried::NotRun };
             if is_whole {
-                attempt.finish(&answer);
+                attempt.finish(&meta);
             }
             return Ok(tried);
         }
-        check_signature(parts.status, &answer)?;
+        check_signature(parts.status, &meta)?;
         if parts.status.is_server_error() && self.call.request.admission.route.is_repeatable() {
             warn!(id:% = request.id, status = parts.status.as_u16(); "upstream failed");
             attempt.fail();
@@ -226,8 +226,8 @@
             }
             None => None,
         };
-        let headers = passed_on(&parts.headers);
-        let source = Source { attempt, answer, body };
+        let headers = forwarded_headers(&parts.headers);
+        let source = Source { attempt, meta, body };
         let open = OpenSource { source, status: parts.status, headers, first };
         Ok(Tried::Open(Box::new(open)))
     }
@@ -322,7 +322,7 @@
 
     fn finish(&mut self) {
         if let Some(source) = self.source.take() {
-            source.attempt.finish(&source.answer);
+            source.attempt.finish(&source.meta);
         }
         let relay = &self.call.relay;
         relay.crashes.note_completed(&self.call.request, relay.now_ms());
