--- a/crates/entry/src/relay/attempt.rs
+++ b/crates/entry/src/relay/attempt.rs
@@ -16,7 +16,7 @@
 };
 
 /// Idle connections that are tried before a new one is opened.
-const IDLE_TRIES: usize = 2;
+const MAX_IDLE_TRIES: usize = 2;
 
 /// Why a call got no answer that can be used.
 #[derive(Debug, Display, Error)]
@@ -34,7 +34,7 @@
 
 /// Head and body of a request to an upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct Outgoing {
+pub(crate) struct UpstreamRequest {
     /// Method of the request.
     pub(crate) method: Method,
     /// Path and query as the caller sent them.
@@ -90,9 +90,9 @@
     /// Sends a request and waits for the head of its answer.
     pub(crate) async fn send(
         &mut self,
-        outgoing: &Outgoing,
+        request: &UpstreamRequest,
     ) -> Result<(Response<Incoming>, ResponseMeta), AttemptError> {
-        let sent = self.send_on_any_connection(outgoing).await;
+        let sent = self.send_on_any_connection(request).await;
         let response = match sent {
             Ok(response) => response,
             Err(SendError::Connect(error)) => {
@@ -113,8 +113,8 @@
         self.latency_ms = now_ms.saturating_sub(self.started_ms) as f64;
         let meta = decode_response_meta(response.status(), response.headers());
         self.observe(&meta, now_ms);
-        let is_other = meta.request_id.is_some() && meta.request_id != outgoing.request_id;
-        if outgoing.request_id.is_some() && is_other && !Mechanism::OwnAnswer.is_off() {
+        let is_other = meta.request_id.is_some() && meta.request_id != request.request_id;
+        if request.request_id.is_some() && is_other && !Mechanism::OwnAnswer.is_off() {
             self.end(CallEnd::Failed);
             return Err(AttemptError::Damaged("it belongs to another request".to_owned()));
         }
@@ -130,14 +130,14 @@
         path: &'static str,
         body: Bytes,
     ) -> Result<(StatusCode, ResponseMeta, Bytes), AttemptError> {
-        let outgoing = Outgoing {
+        let request = UpstreamRequest {
             method: Method::POST,
             uri: Uri::from_static(path),
             headers: system_headers(&self.record.id, self.record.address),
             body,
             request_id: None,
         };
-        let (response, meta) = self.send(&outgoing).await?;
+        let (response, meta) = self.send(&request).await?;
         let status = response.status();
         let body = response.into_body().collect().await;
         let body = body.map_err(|error| AttemptError::Lost(error.to_string()))?;
@@ -153,7 +153,7 @@
             return;
         }
         let now_ms = self.relay.now_ms();
-        self.relay.pool.keep(self.key, connection, meta.idle_timeout_ms, now_ms);
+        self.relay.pool.store_idle(self.key, connection, meta.idle_timeout_ms, now_ms);
     }
 
     /// Notes that the upstream failed the call, and closes the connection.
@@ -163,28 +163,28 @@
 
     async fn send_on_any_connection(
         &mut self,
-        outgoing: &Outgoing,
+        request: &UpstreamRequest,
     ) -> Result<Response<Incoming>, SendError> {
-        for _ in 0..IDLE_TRIES {
+        for _ in 0..MAX_IDLE_TRIES {
             let now_ms = self.relay.now_ms();
             let Some(connection) = self.relay.pool.take_idle(self.key, now_ms) else { break };
-            match self.send_on(connection, outgoing).await {
+            match self.send_on(connection, request).await {
                 Err(SendError::NotSent) => {}
                 sent => return sent,
             }
         }
         let connection = Connection::open(self.record.address).await?;
         self.relay.metrics.connections.inc();
-        self.send_on(connection, outgoing).await
+        self.send_on(connection, request).await
     }
 
     async fn send_on(
         &mut self,
         connection: Connection,
-        outgoing: &Outgoing,
+        request: &UpstreamRequest,
     ) -> Result<Response<Incoming>, SendError> {
         let connection = self.connection.insert(connection);
-        connection.send(outgoing.to_request()).await
+        connection.send(request.to_http_request()).await
     }
 
     fn observe(&self, meta: &ResponseMeta, now_ms: u64) {
@@ -208,15 +208,15 @@
 }
 
 /// Checks that a success comes from the upstream as it is.
-pub(crate) fn check_signature(status: StatusCode, meta: &ResponseMeta) -> Result<(), AttemptError> {
+pub(crate) fn check_seal(status: StatusCode, meta: &ResponseMeta) -> Result<(), AttemptError> {
     if status.is_success() && (!meta.is_sealed || meta.has_content_encoding) {
         return Err(AttemptError::Damaged("it lacks the upstream's signature".to_owned()));
     }
     Ok(())
 }
 
-impl Outgoing {
-    fn to_request(&self) -> Request<Full<Bytes>> {
+impl UpstreamRequest {
+    fn to_http_request(&self) -> Request<Full<Bytes>> {
         let mut request = Request::new(Full::new(self.body.clone()));
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.uri.clone();
--- a/crates/entry/src/relay/crashes.rs
+++ b/crates/entry/src/relay/crashes.rs
@@ -26,24 +26,24 @@
 };
 
 /// Longest time to find out whether an upstream still listens, in milliseconds.
-const CHECK_LIMIT_MS: u64 = 300;
+const CRASH_CHECK_TIMEOUT_MS: u64 = 300;
 
 /// The crash watch of this entry.
 #[derive(Debug, Default)]
-pub(crate) struct Crashes {
+pub(crate) struct CrashTracker {
     watch: Mutex<CrashWatch>,
 }
 
-impl Crashes {
+impl CrashTracker {
     /// Tells whether a request must not run any more.
     pub(crate) fn is_refused(&self, request: &CallerRequest, now_ms: u64) -> bool {
         let watch = lock(&self.watch);
-        !watch.is_empty() && watch.is_refused(digest(request), now_ms)
+        !watch.is_empty() && watch.is_refused(request_digest(request), now_ms)
     }
 
     /// Notes that a request got its whole answer from an upstream.
     pub(crate) fn note_completed(&self, request: &CallerRequest, now_ms: u64) {
-        lock(&self.watch).on_complete(hash(request), || digest(request), now_ms);
+        lock(&self.watch).on_complete(request_hash(request), || request_digest(request), now_ms);
     }
 
     /// Returns the strikes to pass on to other entries.
@@ -65,7 +65,7 @@
 }
 
 /// Finds out whether an upstream that lost an answer has crashed, and holds that against the request.
-pub(crate) fn note_loss(
+pub(crate) fn check_for_crash(
     relay: &Arc<Relay>,
     request: &Arc<CallerRequest>,
     upstream: &UpstreamRecord,
@@ -76,9 +76,13 @@
             return;
         }
         let now_ms = relay.now_ms();
-        let run = run_of(&upstream);
-        let counts =
-            lock(&relay.crashes.watch).on_crash(run, digest(&request), hash(&request), now_ms);
+        let incarnation = incarnation_of(&upstream);
+        let counts = lock(&relay.crashes.watch).on_crash(
+            incarnation,
+            request_digest(&request),
+            request_hash(&request),
+            now_ms,
+        );
         info!(id:% = request.id, upstream:% = upstream.id, counts = counts; "upstream crashed while it ran the request");
     });
 }
@@ -86,7 +90,7 @@
 /// Tells whether nothing listens at the address; a process that lives accepts connections, also where
 /// it lost an answer.
 async fn has_crashed(address: SocketAddr) -> bool {
-    let limit = Duration::from_millis(CHECK_LIMIT_MS);
+    let limit = Duration::from_millis(CRASH_CHECK_TIMEOUT_MS);
     match tokio::time::timeout(limit, TcpStream::connect(address)).await {
         Ok(Err(error)) => error.kind() == io::ErrorKind::ConnectionRefused,
         // An upstream that can't be reached may live.
@@ -95,13 +99,13 @@
 }
 
 /// Names the run of an upstream alike at all entries.
-fn run_of(upstream: &UpstreamRecord) -> Incarnation {
+fn incarnation_of(upstream: &UpstreamRecord) -> Incarnation {
     let mut hasher = FxHasher::default();
     (&upstream.id, upstream.started_unix_ms).hash(&mut hasher);
     Incarnation(hasher.finish())
 }
 
-fn hash(request: &CallerRequest) -> RequestHash {
+fn request_hash(request: &CallerRequest) -> RequestHash {
     let mut hasher = FxHasher::default();
     request.admission.customer.hash(&mut hasher);
     request.target().hash(&mut hasher);
@@ -109,7 +113,7 @@
     RequestHash(hasher.finish())
 }
 
-fn digest(request: &CallerRequest) -> Digest {
+fn request_digest(request: &CallerRequest) -> Digest {
     // Requests of routes without a key belong to no customer.
     let customer = request.admission.customer.as_deref().unwrap_or_default();
     fingerprint(customer, request.method().as_str(), request.target(), request.body())
--- a/crates/entry/src/relay/feed.rs
+++ b/crates/entry/src/relay/feed.rs
@@ -13,13 +13,13 @@
 };
 use yuccatrail_platform::{Client, PollForm, PollUpdate, Poller, PollerSettings};
 
-use crate::relay::state::{ListTrust, Relay};
+use crate::relay::state::{Relay, RelistSignal};
 
 /// Updates of one kind, which is listed again whenever the relay distrusts its lists.
 pub(crate) struct Feed<T> {
     poller: Poller,
     updates: mpsc::Receiver<PollUpdate<T>>,
-    list_trust: watch::Receiver<ListTrust>,
+    relist_signal: watch::Receiver<RelistSignal>,
 }
 
 impl<T: Send + 'static> Feed<T> {
@@ -31,7 +31,7 @@
         stop: &CancellationToken,
     ) -> Self {
         let (poller, updates) = Poller::start(client, form, PollerSettings::default(), stop);
-        Self { poller, updates, list_trust: relay.list_trust() }
+        Self { poller, updates, relist_signal: relay.relist_signal() }
     }
 
     /// Returns the next update; none when the feed has stopped.
@@ -39,10 +39,10 @@
         loop {
             tokio::select! {
                 biased;
-                changed = self.list_trust.changed() => {
+                changed = self.relist_signal.changed() => {
                     changed.ok()?;
-                    let is_silent = self.list_trust.borrow_and_update().is_platform_silent;
-                    self.poller.set_patient(is_silent);
+                    let is_unresponsive = self.relist_signal.borrow_and_update().is_platform_unresponsive;
+                    self.poller.set_patient(is_unresponsive);
                     self.poller.refresh();
                 }
                 update = self.updates.recv() => return update,
@@ -66,19 +66,19 @@
     while let Some(update) = feed.next().await {
         let is_whole = matches!(update, PollUpdate::Snapshot { .. });
         for change in changes_of(update) {
-            adopt(&relay, change);
+            apply_configuration(&relay, change);
         }
         if is_whole {
-            relay.renew(Belief::Configuration);
+            relay.mark_fresh(Belief::Configuration);
         }
     }
     feed.close().await;
 }
 
-fn adopt(relay: &Relay, change: StoreChange<Configuration>) {
+fn apply_configuration(relay: &Relay, change: StoreChange<Configuration>) {
     match change {
         StoreChange::Present { content, .. } => {
-            relay.adopt(RouteTable::new(content), "platform");
+            relay.activate_configuration(RouteTable::new(content), "platform");
         }
         StoreChange::Absent { name } => {
             warn!(object:% = name; "configuration was removed; the last one stays in force");
@@ -96,18 +96,19 @@
         let now_ms = relay.now_ms();
         match update {
             PollUpdate::Snapshot { items, revision } => {
-                let listed = items.iter().filter(|it| is_out(it)).map(|it| name_of(it).to_owned());
+                let listed =
+                    items.iter().filter(|it| is_out(it)).map(|it| object_name(it).to_owned());
                 let mut upstreams = relay.upstreams();
                 let changed = upstreams.replace_evacuated(listed.collect(), now_ms);
                 upstreams.set_evacuations_revision(revision);
                 drop(upstreams);
                 log_evacuations(&changed);
-                relay.renew(Belief::Evacuations);
+                relay.mark_fresh(Belief::Evacuations);
             }
             PollUpdate::Changes(changes) => {
                 let mut upstreams = relay.upstreams();
                 for change in &changes.items {
-                    let (name, is_out) = (name_of(change), is_out(change));
+                    let (name, is_out) = (object_name(change), is_out(change));
                     if upstreams.set_evacuated(name, is_out, now_ms) {
                         log_evacuations(&[(name.to_owned(), is_out)]);
                     }
@@ -145,7 +146,7 @@
                 upstreams.update(ListUpdate::Snapshot(records), now_ms);
                 upstreams.set_upstreams_revision(revision);
                 drop(upstreams);
-                relay.renew(Belief::Upstreams);
+                relay.mark_fresh(Belief::Upstreams);
             }
             PollUpdate::Changes(changes) => {
                 for change in changes.items {
@@ -160,13 +161,13 @@
             }
             PollUpdate::Unavailable(_) => relay.set_follows_platform(false),
         }
-        relay.stages.pump_all(&relay);
+        relay.stages.start_all_calls(&relay);
     }
     feed.close().await;
 }
 
 fn list_update(change: StoreChange<UpstreamRecord>) -> ListUpdate {
-    let name = name_of(&change).to_owned();
+    let name = object_name(&change).to_owned();
     match record_of(change) {
         Some(record) => {
             info!(
@@ -207,7 +208,7 @@
     }
 }
 
-fn name_of<T>(change: &StoreChange<T>) -> &str {
+fn object_name<T>(change: &StoreChange<T>) -> &str {
     match change {
         StoreChange::Present { name, .. }
         | StoreChange::Absent { name }
--- a/crates/entry/src/relay/mod.rs
+++ b/crates/entry/src/relay/mod.rs
@@ -33,7 +33,7 @@
 use crate::{
     relay::{
         sabotage::Mechanism,
-        server::{answer_metrics, answer_ready, serve_callers},
+        server::{handle_metrics, handle_ready, serve_callers},
         state::Relay,
     },
     serve::with_logs,
@@ -42,17 +42,17 @@
 pub(crate) use settings::{RelaySettings, options, with_rendered_settings};
 
 /// Time between two rounds of housekeeping, in milliseconds; bounds how late work is given up.
-const TICK_MS: u64 = 25;
+const HOUSEKEEPING_INTERVAL_MS: u64 = 25;
 /// Time for which a stopping relay still takes new connections, in milliseconds: the platform asks
 /// every second and takes an instance out after two refusals.
-const ROTATION_MS: u64 = 2_600;
+const READINESS_GRACE_MS: u64 = 2_600;
 /// Time before the kill at which a planned stop gives up waiting, in milliseconds.
 const STOP_MARGIN_MS: u64 = 400;
 /// Time before the end of a planned stop at which requests that no upstream has received are refused,
 /// in milliseconds; a busy entry takes a part of it to answer them all.
-const LAST_REFUSALS_MS: u64 = 300;
+const REFUSAL_MARGIN_MS: u64 = 300;
 /// Time between two looks at the requests in progress of a stopping relay, in milliseconds.
-const STOP_CHECK_MS: u64 = 50;
+const STOP_POLL_MS: u64 = 50;
 /// Longest time for one call of the platform's store, in milliseconds; a slow store takes 240.
 const STORE_TIMEOUT_MS: u64 = 1_000;
 
@@ -90,14 +90,14 @@
     tokio::spawn(platform_check::check(relay.clone(), client.clone(), finished.clone()));
     tokio::spawn(peers::serve(peers, relay.clone(), finished.clone()));
     let registering = tokio::spawn(peers::register(relay.clone(), client.clone()));
-    tokio::spawn(keep_house(relay.clone(), finished.clone()));
-    tokio::spawn(reload(relay.clone(), finished.clone())?);
-    let asked = relay.clone();
-    let ready_handler = move |request| answer_ready(asked.clone(), request);
+    tokio::spawn(run_housekeeping(relay.clone(), finished.clone()));
+    tokio::spawn(reload_on_hangup(relay.clone(), finished.clone())?);
+    let handler_relay = relay.clone();
+    let ready_handler = move |request| handle_ready(handler_relay.clone(), request);
     tokio::spawn(http::serve(ready, finished.clone(), ready_handler));
     if let Some(address) = relay.settings.metrics_listen {
-        let asked = relay.clone();
-        let handler = move |request| answer_metrics(asked.clone(), request);
+        let handler_relay = relay.clone();
+        let handler = move |request| handle_metrics(handler_relay.clone(), request);
         let listener = TcpListener::bind(address).await?;
         tokio::spawn(http::serve(listener, finished.clone(), handler));
     }
@@ -120,8 +120,8 @@
     relay.begin_stop();
     let begun_ms = relay.now_ms();
     let limit_ms = relay.settings.bounds.grace_period_ms.saturating_sub(STOP_MARGIN_MS);
-    let waiting_ms = limit_ms.saturating_sub(LAST_REFUSALS_MS);
-    tokio::time::sleep(Duration::from_millis(ROTATION_MS.min(waiting_ms))).await;
+    let waiting_ms = limit_ms.saturating_sub(REFUSAL_MARGIN_MS);
+    tokio::time::sleep(Duration::from_millis(READINESS_GRACE_MS.min(waiting_ms))).await;
     closing.cancel();
     while relay.in_progress() > 0 {
         if Mechanism::PatientStop.is_off() {
@@ -129,38 +129,38 @@
         }
         let elapsed_ms = relay.now_ms().saturating_sub(begun_ms);
         if elapsed_ms >= waiting_ms {
-            relay.give_up_waiting();
+            relay.refuse_unsent();
         }
         if elapsed_ms >= limit_ms {
             warn!(cut = relay.in_progress(); "the time limit of the planned stop cuts requests");
             return;
         }
-        tokio::time::sleep(Duration::from_millis(STOP_CHECK_MS)).await;
+        tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
     }
     // The last answers may still be on their way to the callers.
-    tokio::time::sleep(Duration::from_millis(STOP_CHECK_MS)).await;
+    tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
 }
 
 /// Gives up what is hopeless and lets go of what is old.
-async fn keep_house(relay: Arc<Relay>, finished: CancellationToken) {
-    let mut interval = tokio::time::interval(Duration::from_millis(TICK_MS));
+async fn run_housekeeping(relay: Arc<Relay>, finished: CancellationToken) {
+    let mut interval = tokio::time::interval(Duration::from_millis(HOUSEKEEPING_INTERVAL_MS));
     interval.set_missed_tick_behavior(MissedTickBehavior::Delay);
     while !finished.is_cancelled() {
         interval.tick().await;
-        relay.note_sign_of_life();
+        relay.detect_pause();
         let now_ms = relay.now_ms();
         relay.upstreams().expire(now_ms);
         relay.crashes.expire(now_ms);
-        relay.peers.decide_whom_to_ask(&relay);
+        relay.peers.update_polled_entries(&relay);
         relay.stages.tick(&relay);
-        relay.releases.send_all(&relay);
+        relay.releases.flush(&relay);
         let upstreams = relay.upstreams();
         relay.pool.expire(|it| upstreams.get(it).is_some(), now_ms);
     }
 }
 
 /// Reads the settings again at each SIGHUP.
-fn reload(
+fn reload_on_hangup(
     relay: Arc<Relay>,
     finished: CancellationToken,
 ) -> io::Result<impl Future<Output = ()> + Send + 'static> {
@@ -170,7 +170,7 @@
             if hangup.recv().await.is_none() {
                 return;
             }
-            match settings::read_again() {
+            match settings::reread() {
                 Ok(settings) => {
                     relay.retries().set_limit(settings.bounds.retries);
                     let needs_restart = settings != relay.settings;
--- a/crates/entry/src/relay/model.rs
+++ b/crates/entry/src/relay/model.rs
@@ -14,23 +14,23 @@
 
 use crate::relay::{
     release::HeldResults,
-    request::{AnswerBody, CallerRequest, Refusal},
-    state::{InProgress, Relay},
+    request::{CallerRequest, Refusal, ResponseBody},
+    state::{InProgressGuard, Relay},
     stream::{self, ModelCall},
 };
 
 /// Prompt tokens that a model upstream reads in a millisecond; the users' engines read 40 to 51.
 const PROMPT_TOKENS_PER_MS: f64 = 40.0;
 /// Time of a model upstream beside reading the prompt, in milliseconds.
-const MODEL_START_MS: f64 = 60.0;
+const MODEL_OVERHEAD_MS: f64 = 60.0;
 /// Times that lost results are made again for one request; its deadline bounds them further.
 const MAX_RESTARTS: u32 = 1;
 /// Size from which a result is made late rather than early, in bytes.
 const LARGE_RESULT_BYTES: u64 = 100_000;
 /// Part of its slack for which a stage waits; the rest covers what the estimates miss.
-const SLACK_PART: f64 = 0.7;
+const SLACK_FRACTION: f64 = 0.7;
 /// Wait that is proposed by an entry that stops, in milliseconds; others can take the request now.
-const STOPPED_RETRY_MS: u64 = 20;
+const STOPPING_RETRY_MS: u64 = 20;
 /// Shortest wait that is proposed when stages are full, in milliseconds.
 const MIN_STAGE_RETRY_MS: u64 = 200;
 
@@ -38,18 +38,18 @@
 pub(crate) async fn serve(
     relay: &Arc<Relay>,
     request: &Arc<CallerRequest>,
-    in_progress: InProgress,
-) -> Result<Response<AnswerBody>, Refusal> {
+    in_progress: InProgressGuard,
+) -> Result<Response<ResponseBody>, Refusal> {
     let route = &request.admission.route;
     let mut graph = StageGraph::new(&route.stages, &request.head.pieces);
     let mut held = HeldResults::new(relay.clone());
-    let data_centre = tentative_data_centre(relay, request);
-    refuse_hopeless(relay, request, &graph)?;
+    let data_centre = predicted_data_centre(relay, request);
+    refuse_unreachable_deadline(relay, request, &graph)?;
     let mut restarts = 0;
     loop {
         tokio::select! {
             ran = run_stages(relay, request, &mut graph, &mut held, data_centre.as_ref()) => ran?,
-            () = relay.gives_up_waiting() => return Err(Refusal::busy("stopping", STOPPED_RETRY_MS)),
+            () = relay.until_unsent_refused() => return Err(Refusal::busy("stopping", STOPPING_RETRY_MS)),
         }
         let call = ModelCall {
             relay: relay.clone(),
@@ -81,7 +81,7 @@
 }
 
 /// Returns the data centre in which the request will probably run, so that results are made there.
-fn tentative_data_centre(relay: &Relay, request: &CallerRequest) -> Option<Arc<str>> {
+fn predicted_data_centre(relay: &Relay, request: &CallerRequest) -> Option<Arc<str>> {
     let affinity = affinity(request);
     let wanted = wanted(relay, request, affinity.as_ref(), &[]);
     let upstreams = relay.upstreams();
@@ -108,11 +108,11 @@
 /// Returns the time from the last stage to the first event, in milliseconds.
 fn model_ms(request: &CallerRequest) -> f64 {
     let own_tokens = request.head.prompt_parts.last().map_or(0, |it| it.1);
-    MODEL_START_MS + own_tokens as f64 / PROMPT_TOKENS_PER_MS
+    MODEL_OVERHEAD_MS + own_tokens as f64 / PROMPT_TOKENS_PER_MS
 }
 
 /// Refuses a request whose stages can't be finished before its deadline.
-fn refuse_hopeless(
+fn refuse_unreachable_deadline(
     relay: &Relay,
     request: &CallerRequest,
     graph: &StageGraph,
@@ -124,7 +124,7 @@
         let (service, pieces) = (&stages[stage].service, graph.pieces(stage));
         relay.stages.estimate_ms(relay, service, pieces, aim_ms).unwrap_or(0.0)
     });
-    let needed_ms = needed_ms + MODEL_START_MS;
+    let needed_ms = needed_ms + MODEL_OVERHEAD_MS;
     let remaining_ms = request.remaining_ms(now_ms) as f64;
     if needed_ms <= remaining_ms {
         return Ok(());
@@ -157,15 +157,15 @@
             let inputs = ready.inputs.unwrap_or_default();
             running.push(async move {
                 tokio::time::sleep(delay).await;
-                let ending = relay.stages.run(relay, &service, work).await;
-                (ready.stage, inputs, ending)
+                let outcome = relay.stages.run(relay, &service, work).await;
+                (ready.stage, inputs, outcome)
             });
         }
         let Some((stage, inputs, (end, handles))) = running.next().await else { return Ok(()) };
         held.hold(&handles);
         match end {
             GroupEnd::Made => {
-                release_read(graph, held, stage, &inputs);
+                release_consumed_inputs(graph, held, stage, &inputs);
                 graph.finish(stage, handles);
             }
             GroupEnd::Late => return Err(Refusal::busy("stage_late", MIN_STAGE_RETRY_MS)),
@@ -198,12 +198,12 @@
         let (service, pieces) = (&stages[it].service, graph.pieces(it));
         relay.stages.estimate_ms(relay, service, pieces, aim_ms).unwrap_or(0.0)
     };
-    let slack_ms = graph.slack_ms(ready.stage, &time_ms) * SLACK_PART;
+    let slack_ms = graph.slack_ms(ready.stage, &time_ms) * SLACK_FRACTION;
     Duration::from_millis(slack_ms as u64)
 }
 
 /// Releases the results that only a finished stage has read.
-fn release_read(
+fn release_consumed_inputs(
     graph: &mut StageGraph,
     held: &mut HeldResults,
     stage: usize,
@@ -223,11 +223,11 @@
     data_centre: Option<&Arc<str>>,
 ) -> StageWork {
     let stages = &request.admission.route.stages;
-    let stated_ms = |it: usize| relay.stages.duration_ms(&stages[it].service, graph.pieces(it));
+    let nominal_ms = |it: usize| relay.stages.duration_ms(&stages[it].service, graph.pieces(it));
     let loaded_ms = |it: usize| relay.stages.loaded_ms(&stages[it].service);
     let model_ms = model_ms(request);
-    let least_ms = (graph.following_ms(ready.stage, &stated_ms) + model_ms) as u64;
-    let likely_ms = (graph.following_ms(ready.stage, &loaded_ms) + model_ms) as u64;
+    let min_following_ms = (graph.following_ms(ready.stage, &nominal_ms) + model_ms) as u64;
+    let loaded_following_ms = (graph.following_ms(ready.stage, &loaded_ms) + model_ms) as u64;
     let source = match &ready.inputs {
         Some(inputs) => PieceSource::Inputs(inputs.clone()),
         None => PieceSource::Key(request.head.piece_key.clone().unwrap_or_else(|| {
@@ -243,15 +243,15 @@
         is_only_reader: !graph.has_other_reader(ready.stage),
         result_bytes: stages[ready.stage].result_bytes,
         priority: request.admission.priority,
-        aim_ms: request.aim_ms().saturating_sub(likely_ms),
-        deadline_ms: request.deadline_ms.saturating_sub(least_ms),
-        home: Home::choose(bytes_by_place(relay, request, graph, ready, data_centre)),
+        aim_ms: request.aim_ms().saturating_sub(loaded_following_ms),
+        deadline_ms: request.deadline_ms.saturating_sub(min_following_ms),
+        home: Home::choose(bytes_by_data_centre(relay, request, graph, ready, data_centre)),
     }
 }
 
 /// Returns the bytes that a piece of a stage reads from each data centre and that its reader will
 /// read in the data centre of the model upstream.
-fn bytes_by_place(
+fn bytes_by_data_centre(
     relay: &Relay,
     request: &CallerRequest,
     graph: &StageGraph,
@@ -268,8 +268,8 @@
         .flat_map(|it| std::iter::repeat_n(stages[*it].result_bytes, graph.pieces(*it)));
     let upstreams = relay.upstreams();
     for (input, bytes) in ready.inputs.iter().flatten().zip(sizes) {
-        let place = result_holder(input).and_then(|it| upstreams.data_centre_at(it));
-        shares.extend(place.map(|it| (it.clone(), bytes)));
+        let data_centre = result_holder(input).and_then(|it| upstreams.data_centre_at(it));
+        shares.extend(data_centre.map(|it| (it.clone(), bytes)));
     }
     shares
 }
--- a/crates/entry/src/relay/peers.rs
+++ b/crates/entry/src/relay/peers.rs
@@ -1,6 +1,6 @@
 //! The other entries: whether they live, who owns shared work, and whom to ask.
 
-mod ask;
+mod hello;
 mod record;
 mod serve;
 
@@ -20,7 +20,7 @@
 use yuccatrail_rpc::entries::{EntryAddress, EntryPeerClient, HelloReply, QueueState};
 
 use crate::relay::{
-    peers::ask::Missing,
+    peers::hello::MissingConfiguration,
     state::{Relay, lock},
 };
 
@@ -45,10 +45,10 @@
 }
 
 /// What is known of another entry.
-struct Known {
+struct KnownEntry {
     record: EntryRecord,
     /// Ends the questions to the entry; none while it is not asked.
-    asking: Option<CancellationToken>,
+    polling: Option<CancellationToken>,
     peer: Option<Peer>,
     queues: FastMap<String, QueueState>,
 }
@@ -56,31 +56,31 @@
 /// All entries, with the calls to those that are asked.
 struct Directory {
     view: EntryView,
-    known: FastMap<String, Known>,
+    known: FastMap<String, KnownEntry>,
     /// Own state with which it was last decided whom to ask; none where that has to be decided again.
-    decided_with: Option<OwnState>,
+    polled_for: Option<OwnState>,
 }
 
 /// Who owns a piece of shared work.
 pub(crate) enum Owner {
     /// This entry.
-    Own,
+    Local,
     /// Another entry.
-    Other(Peer),
+    Remote(Peer),
 }
 
 /// All other entries.
 pub(crate) struct Peers {
     directory: Mutex<Directory>,
-    missing: Mutex<Missing>,
+    missing_configuration: Mutex<MissingConfiguration>,
 }
 
 impl Peers {
     /// Creates the directory of the entry `own`, which knows no other yet.
     pub(crate) fn new(own: Candidate) -> Self {
         let view = EntryView::new(own);
-        let directory = Directory { view, known: FastMap::default(), decided_with: None };
-        Self { directory: Mutex::new(directory), missing: Mutex::default() }
+        let directory = Directory { view, known: FastMap::default(), polled_for: None };
+        Self { directory: Mutex::new(directory), missing_configuration: Mutex::default() }
     }
 
     /// Returns the owner of a stage service.
@@ -90,8 +90,8 @@
         let Directory { view, known, .. } = &mut *directory;
         let owner = view.owner(service, own).and_then(|it| known.get(it));
         match owner.and_then(|it| it.peer.clone()) {
-            Some(peer) => Owner::Other(peer),
-            None => Owner::Own,
+            Some(peer) => Owner::Remote(peer),
+            None => Owner::Local,
         }
     }
 
@@ -110,43 +110,43 @@
     /// Returns what another entry that owns a service last told of its queue, if it told of it; none
     /// where this entry is the owner.
     fn queue_at_owner(&self, relay: &Relay, service: &str) -> Option<Option<QueueState>> {
-        let Owner::Other(peer) = self.owner(relay, service) else { return None };
+        let Owner::Remote(peer) = self.owner(relay, service) else { return None };
         let directory = lock(&self.directory);
         Some(directory.known.get(&peer.name).and_then(|it| it.queues.get(service)).cloned())
     }
 
     /// Begins to ask the entries that have to be asked and stops asking the others.
-    pub(crate) fn decide_whom_to_ask(&self, relay: &Arc<Relay>) {
+    pub(crate) fn update_polled_entries(&self, relay: &Arc<Relay>) {
         let own = own_state(relay);
-        if lock(&self.directory).decided_with == Some(own) {
+        if lock(&self.directory).polled_for == Some(own) {
             return;
         }
         let services = relay.stages.services();
         let mut directory = lock(&self.directory);
-        let Directory { view, known, decided_with } = &mut *directory;
-        *decided_with = Some(own);
-        let asked = view.to_ask(&services, own);
+        let Directory { view, known, polled_for } = &mut *directory;
+        *polled_for = Some(own);
+        let to_poll = view.to_ask(&services, own);
         for (name, entry) in known.iter_mut() {
-            if asked.contains(name) == entry.asking.is_some() {
+            if to_poll.contains(name) == entry.polling.is_some() {
                 continue;
             }
-            if let Some(asking) = entry.asking.take() {
+            if let Some(polling) = entry.polling.take() {
                 // Calls in progress at the entry go on.
-                asking.cancel();
+                polling.cancel();
                 entry.peer = None;
                 view.hear(name, Heard::Nothing);
                 continue;
             }
             let stop = CancellationToken::new();
-            entry.asking = Some(stop.clone());
+            entry.polling = Some(stop.clone());
             let address = entry.record.peer_address;
-            tokio::spawn(ask::maintain(relay.clone(), name.clone(), address, stop));
+            tokio::spawn(hello::poll_entry(relay.clone(), name.clone(), address, stop));
         }
     }
 
     /// Decides again whom to ask, for instance because there are other stage services now.
-    pub(crate) fn note_change(&self) {
-        lock(&self.directory).decided_with = None;
+    pub(crate) fn invalidate_polled_entries(&self) {
+        lock(&self.directory).polled_for = None;
     }
 
     fn set_record(&self, relay: &Relay, name: &str, record: EntryRecord) {
@@ -160,8 +160,8 @@
         info!(entry = name, address:% = record.peer_address; "entry listed");
         let candidate = Candidate { name: name.to_owned(), cpu_share: record.cpu_share };
         directory.view.list(candidate);
-        directory.decided_with = None;
-        let entry = Known { record, asking: None, peer: None, queues: FastMap::default() };
+        directory.polled_for = None;
+        let entry = KnownEntry { record, polling: None, peer: None, queues: FastMap::default() };
         if let Some(replaced) = directory.known.insert(name.to_owned(), entry) {
             // This is another run of the entry; the calls to the one before get no answer.
             if let Some(peer) = &replaced.peer {
@@ -176,12 +176,12 @@
         if let Some(removed) = directory.known.remove(name) {
             info!(entry = name; "entry no longer listed");
             directory.view.unlist(name);
-            directory.decided_with = None;
+            directory.polled_for = None;
             removed.close();
         }
     }
 
-    fn note_reply(&self, name: &str, reply: HelloReply, peer: &Peer, stop: &CancellationToken) {
+    fn record_reply(&self, name: &str, reply: HelloReply, peer: &Peer, stop: &CancellationToken) {
         let mut directory = lock(&self.directory);
         let Some(entry) = directory.known.get_mut(name) else { return };
         if stop.is_cancelled() {
@@ -196,7 +196,7 @@
         }
     }
 
-    fn note_lost(&self, name: &str, detail: &str, stop: &CancellationToken) {
+    fn record_loss(&self, name: &str, detail: &str, stop: &CancellationToken) {
         let mut directory = lock(&self.directory);
         let Some(entry) = directory.known.get_mut(name) else { return };
         if stop.is_cancelled() {
@@ -227,17 +227,17 @@
     fn hear(&mut self, name: &str, heard: Heard) -> bool {
         let is_new = self.view.hear(name, heard);
         if is_new {
-            self.decided_with = None;
+            self.polled_for = None;
         }
         is_new
     }
 }
 
-impl Known {
+impl KnownEntry {
     /// Stops asking the entry; calls in progress there go on.
     fn close(self) {
-        if let Some(asking) = self.asking {
-            asking.cancel();
+        if let Some(polling) = self.polling {
+            polling.cancel();
         }
     }
 }
@@ -247,7 +247,7 @@
 }
 
 /// Notes an entry that another one told of, or that asks.
-fn note_address(relay: &Relay, entry: EntryAddress) {
+fn record_address(relay: &Relay, entry: EntryAddress) {
     let record = EntryRecord { peer_address: entry.peer_address, cpu_share: entry.cpu_share };
     relay.peers.set_record(relay, &entry.name, record);
 }
--- a/crates/entry/src/relay/peers/ask.rs
+++ b/crates/entry/src/relay/peers/hello.rs
@@ -16,7 +16,7 @@
 
 use crate::relay::{
     feed::log_evacuations,
-    peers::{Peer, context_for, note_address},
+    peers::{Peer, context_for, record_address},
     state::{Relay, lock},
 };
 
@@ -27,38 +27,38 @@
 const RECONNECT_MS: u64 = 300;
 /// Time for which the platform is given to tell of a configuration that another entry has, in
 /// milliseconds: its answers are gathered for 250, and two seconds are the bound.
-const CONFIGURATION_PATIENCE_MS: u64 = 600;
+const PLATFORM_DELIVERY_GRACE_MS: u64 = 600;
 
 /// A configuration that another entry has and this one lacks.
 #[derive(Default)]
-pub(super) struct Missing {
+pub(super) struct MissingConfiguration {
     /// Its version, and the time at which it was first heard of, in milliseconds.
-    heard: Option<(u64, u64)>,
+    first_offer: Option<(u64, u64)>,
     /// Time until which an entry is being asked for it, in milliseconds.
-    asked_until_ms: u64,
+    fetching_until_ms: u64,
 }
 
-impl Missing {
+impl MissingConfiguration {
     /// Notes that another entry has a version; tells whether it is time to ask for it.
     ///
     /// A whole configuration takes a narrow link tens of milliseconds, so it is asked for only where
     /// the platform has not told of it in time, and from one entry. An entry without any asks at once.
-    fn begin(&mut self, own: Option<u64>, offered: u64, now_ms: u64) -> bool {
-        let (_, since_ms) = match self.heard.filter(|(version, _)| own < Some(*version)) {
-            Some(heard) => heard,
-            None => *self.heard.insert((offered, now_ms)),
+    fn begin_fetch(&mut self, own: Option<u64>, offered: u64, now_ms: u64) -> bool {
+        let (_, since_ms) = match self.first_offer.filter(|(version, _)| own < Some(*version)) {
+            Some(first_offer) => first_offer,
+            None => *self.first_offer.insert((offered, now_ms)),
         };
-        let is_patient = own.is_some() && now_ms < since_ms + CONFIGURATION_PATIENCE_MS;
-        if is_patient || now_ms < self.asked_until_ms {
+        let is_within_grace = own.is_some() && now_ms < since_ms + PLATFORM_DELIVERY_GRACE_MS;
+        if is_within_grace || now_ms < self.fetching_until_ms {
             return false;
         }
-        self.asked_until_ms = now_ms + HELLO_TIMEOUT_MS;
+        self.fetching_until_ms = now_ms + HELLO_TIMEOUT_MS;
         true
     }
 }
 
 /// Keeps a connection to an entry and asks it again and again.
-pub(super) async fn maintain(
+pub(super) async fn poll_entry(
     relay: Arc<Relay>,
     name: String,
     address: SocketAddr,
@@ -66,16 +66,16 @@
 ) {
     while !stop.is_cancelled() {
         let detail = tokio::select! {
-            detail = converse(&relay, &name, address, &stop) => detail,
+            detail = exchange_hellos(&relay, &name, address, &stop) => detail,
             () = stop.cancelled() => return,
         };
-        relay.peers.note_lost(&name, &detail, &stop);
+        relay.peers.record_loss(&name, &detail, &stop);
         tokio::time::sleep(Duration::from_millis(RECONNECT_MS)).await;
     }
 }
 
 /// Returns why the conversation ended.
-async fn converse(
+async fn exchange_hellos(
     relay: &Arc<Relay>,
     name: &str,
     address: SocketAddr,
@@ -89,18 +89,18 @@
     };
     let client = EntryPeerClient::new(Config::default(), Box::pin(transport)).spawn();
     let peer = Peer { name: name.to_owned(), client, lost: CancellationToken::new() };
-    let mut knows_entries = false;
+    let mut has_entries = false;
     loop {
         let strikes = relay.crashes.recent(relay.now_ms());
-        let asked = peer.client.hello(context_for(HELLO_TIMEOUT_MS), own_address(relay), strikes);
-        match tokio::time::timeout(limit, asked).await {
+        let hello = peer.client.hello(context_for(HELLO_TIMEOUT_MS), own_address(relay), strikes);
+        match tokio::time::timeout(limit, hello).await {
             Ok(Ok(reply)) => {
-                take_newer_configuration(relay, &peer, reply.config_version).await;
-                take_beliefs(relay, &peer, reply.list_revisions).await;
+                fetch_newer_configuration(relay, &peer, reply.config_version).await;
+                fetch_newer_lists(relay, &peer, reply.list_revisions).await;
                 relay.crashes.merge(&reply.strikes, relay.now_ms());
-                relay.peers.note_reply(name, reply, &peer, stop);
-                if !knows_entries {
-                    knows_entries = take_entries(relay, &peer).await;
+                relay.peers.record_reply(name, reply, &peer, stop);
+                if !has_entries {
+                    has_entries = fetch_entries(relay, &peer).await;
                 }
             }
             Ok(Err(error)) => return error.to_string(),
@@ -119,7 +119,7 @@
 }
 
 /// Learns of the other entries where the platform tells of none; returns whether that is done.
-async fn take_entries(relay: &Relay, peer: &Peer) -> bool {
+async fn fetch_entries(relay: &Relay, peer: &Peer) -> bool {
     if relay.upstreams().has_platform_list() {
         return true;
     }
@@ -127,7 +127,7 @@
         Ok(entries) => {
             info!(entry:% = peer.name, entries = entries.len(); "entries heard from an entry");
             for entry in entries {
-                note_address(relay, entry);
+                record_address(relay, entry);
             }
             true
         }
@@ -139,29 +139,29 @@
 }
 
 /// Takes over a newer configuration from an entry that the store has told of it.
-async fn take_newer_configuration(relay: &Relay, peer: &Peer, version: Option<u64>) {
+async fn fetch_newer_configuration(relay: &Relay, peer: &Peer, version: Option<u64>) {
     let own = relay.table().map(|it| it.version());
     let Some(offered) = version.filter(|it| Some(*it) > own) else { return };
-    if !lock(&relay.peers.missing).begin(own, offered, relay.now_ms()) {
+    if !lock(&relay.peers.missing_configuration).begin_fetch(own, offered, relay.now_ms()) {
         return;
     }
     match peer.client.configuration(context_for(HELLO_TIMEOUT_MS)).await {
         Ok(Some(configuration)) => {
             let table = RouteTable::new(Arc::unwrap_or_clone(configuration));
             // The platform had its time to tell of it: the polls that wait may never be answered.
-            if relay.adopt(table, &peer.name) && own.is_some() {
+            if relay.activate_configuration(table, &peer.name) && own.is_some() {
                 warn!(entry:% = peer.name; "platform did not tell of a configuration, lists are read again");
-                relay.read_lists_again();
+                relay.relist();
             }
         }
         Ok(None) => {}
         Err(error) => warn!(entry:% = peer.name, error:% = error; "newer configuration not heard"),
     }
-    lock(&relay.peers.missing).asked_until_ms = 0;
+    lock(&relay.peers.missing_configuration).fetching_until_ms = 0;
 }
 
 /// Takes over newer lists from an entry that follows the platform while this one does not.
-async fn take_beliefs(relay: &Arc<Relay>, peer: &Peer, revisions: Option<ListRevisions>) {
+async fn fetch_newer_lists(relay: &Arc<Relay>, peer: &Peer, revisions: Option<ListRevisions>) {
     let is_newer = |it: ListRevisions| it.has_newer_than(relay.upstreams().revisions());
     if relay.follows_platform() || !revisions.is_some_and(is_newer) {
         return;
@@ -190,5 +190,5 @@
     let changed = upstreams.take_over(beliefs, now_ms);
     drop(upstreams);
     log_evacuations(&changed);
-    relay.stages.pump_all(relay);
+    relay.stages.start_all_calls(relay);
 }
--- a/crates/entry/src/relay/peers/record.rs
+++ b/crates/entry/src/relay/peers/record.rs
@@ -29,9 +29,9 @@
                 for name in relay.peers.names().iter().filter(|it| !listed.contains(*it)) {
                     relay.peers.remove(name);
                 }
-                take_in(&relay, items);
+                apply_changes(&relay, items);
             }
-            PollUpdate::Changes(changes) => take_in(&relay, changes.items),
+            PollUpdate::Changes(changes) => apply_changes(&relay, changes.items),
             PollUpdate::Unavailable(_) | PollUpdate::Available => {}
         }
         let mut names = relay.peers.names();
@@ -41,7 +41,7 @@
     feed.close().await;
 }
 
-fn take_in(relay: &Relay, changes: Vec<StoreChange<EntryRecord>>) {
+fn apply_changes(relay: &Relay, changes: Vec<StoreChange<EntryRecord>>) {
     for change in changes {
         match change {
             StoreChange::Present { name, content } => {
--- a/crates/entry/src/relay/peers/serve.rs
+++ b/crates/entry/src/relay/peers/serve.rs
@@ -18,7 +18,7 @@
 use yuccatrail_runtime::accept::accept;
 
 use crate::relay::{
-    peers::{Known, note_address},
+    peers::{KnownEntry, record_address},
     state::{Relay, lock},
 };
 
@@ -34,7 +34,7 @@
         self.relay.crashes.merge(&strikes, now_ms);
         // Without the platform an entry that starts again finds the others by their questions.
         if !self.relay.upstreams().has_platform_list() {
-            note_address(&self.relay, from);
+            record_address(&self.relay, from);
         }
         let queues = self.relay.stages.states(&self.relay);
         let config_version = self.relay.table().map(|it| it.version());
@@ -47,7 +47,7 @@
 
     async fn entries(self, _: Context) -> Vec<EntryAddress> {
         let directory = lock(&self.relay.peers.directory);
-        let address = |(name, entry): (&String, &Known)| EntryAddress {
+        let address = |(name, entry): (&String, &KnownEntry)| EntryAddress {
             name: name.clone(),
             peer_address: entry.record.peer_address,
             cpu_share: entry.record.cpu_share,
@@ -74,7 +74,7 @@
     }
 
     async fn release(self, _: Context, handles: Vec<String>) {
-        self.relay.releases.add_own(handles);
+        self.relay.releases.add_delegated(handles);
     }
 }
 
--- a/crates/entry/src/relay/plain.rs
+++ b/crates/entry/src/relay/plain.rs
@@ -10,10 +10,10 @@
 use yuccatrail_core::upstreams::{UpstreamKey, Wanted};
 
 use crate::relay::{
-    attempt::{Attempt, AttemptError, check_signature},
-    crashes::note_loss,
+    attempt::{Attempt, AttemptError, check_seal},
+    crashes::check_for_crash,
     metrics::ServiceLabels,
-    request::{AnswerBody, CallerRequest, Refusal},
+    request::{CallerRequest, Refusal, ResponseBody},
     sabotage::Mechanism,
     state::Relay,
 };
@@ -21,20 +21,20 @@
 /// Largest answer that is read, in bytes; an answer is read whole before it is passed on.
 const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
 /// Shortest time that an upstream gets before another is called, in milliseconds.
-const MIN_TRY_MS: u64 = 200;
+const MIN_TRY_TIMEOUT_MS: u64 = 200;
 /// Part of the aim after which an idempotent call is made again elsewhere.
-const TRY_PART_OF_AIM: f64 = 1.5;
+const TRY_TIMEOUT_FACTOR: f64 = 1.5;
 /// Upstreams that are tried before a call is refused.
 const MAX_TRIES: usize = 6;
 /// Wait that is proposed when no upstream takes the call, in milliseconds: a few calls' time.
 const BUSY_RETRY_MS: u64 = 200;
 
 /// What an answered attempt brought.
-enum Tried {
+enum TryOutcome {
     /// An answer to pass on.
-    Answer(Response<AnswerBody>),
+    Answer(Response<ResponseBody>),
     /// A failure that the upstream reported, which is passed on if nothing better comes.
-    Failure(Response<AnswerBody>),
+    Failure(Response<ResponseBody>),
     /// The upstream did not run the call.
     NotRun,
 }
@@ -43,22 +43,22 @@
 pub(crate) async fn serve(
     relay: &Arc<Relay>,
     request: &Arc<CallerRequest>,
-) -> Result<Response<AnswerBody>, Refusal> {
+) -> Result<Response<ResponseBody>, Refusal> {
     let route = &request.admission.route;
     let is_sent_once = !Mechanism::SendOnce.is_off();
     let max_runs = if is_sent_once { route.max_runs() } else { route.max_attempts };
     let mut tried: Vec<UpstreamKey> = Vec::new();
-    let (mut runs, mut arrivals) = (0, 0);
+    let (mut runs, mut reached) = (0, 0);
     let mut failure = None;
     while tried.len() < MAX_TRIES && (runs == 0 || runs < max_runs) {
-        relay.until_fresh().await;
-        let Some(mut attempt) = next_upstream(relay, request, &tried) else { break };
-        if arrivals > 0 && !take_retry(relay, request) {
+        relay.wait_until_fresh().await;
+        let Some(mut attempt) = begin_next_attempt(relay, request, &tried) else { break };
+        if reached > 0 && !take_retry(relay, request) {
             break;
         }
         tried.push(attempt.key);
         log_choice(relay, request, &attempt, tried.len());
-        let limit_ms = try_limit_ms(request, runs + 1 < max_runs, relay.now_ms());
+        let limit_ms = try_timeout_ms(request, runs + 1 < max_runs, relay.now_ms());
         let limit = Duration::from_millis(limit_ms);
         let outcome = tokio::time::timeout(limit, try_once(relay, request, &mut attempt)).await;
         let outcome =
@@ -66,17 +66,17 @@
         match outcome {
             Ok((result, meta)) => {
                 attempt.finish(&meta);
-                arrivals += 1;
+                reached += 1;
                 match result {
-                    Tried::Answer(response) => {
+                    TryOutcome::Answer(response) => {
                         relay.crashes.note_completed(request, relay.now_ms());
                         return Ok(response);
                     }
-                    Tried::Failure(response) => {
+                    TryOutcome::Failure(response) => {
                         runs += 1;
                         failure = Some(response);
                     }
-                    Tried::NotRun => {}
+                    TryOutcome::NotRun => {}
                 }
             }
             Err(error) => {
@@ -87,14 +87,14 @@
                     "attempt failed"
                 );
                 if matches!(error, AttemptError::Lost(_)) {
-                    note_loss(relay, request, &attempt.record);
+                    check_for_crash(relay, request, &attempt.record);
                 }
                 attempt.fail();
                 if request.remaining_ms(relay.now_ms()) == 0 {
                     return Err(Refusal::timed_out("time_over"));
                 }
                 if !matches!(error, AttemptError::Unreachable(_)) {
-                    (runs, arrivals) = (runs + 1, arrivals + 1);
+                    (runs, reached) = (runs + 1, reached + 1);
                 }
             }
         }
@@ -117,7 +117,7 @@
     );
 }
 
-fn next_upstream(
+fn begin_next_attempt(
     relay: &Arc<Relay>,
     request: &CallerRequest,
     tried: &[UpstreamKey],
@@ -146,34 +146,34 @@
     is_allowed
 }
 
-fn try_limit_ms(request: &CallerRequest, may_repeat: bool, now_ms: u64) -> u64 {
+fn try_timeout_ms(request: &CallerRequest, may_repeat: bool, now_ms: u64) -> u64 {
     let remaining_ms = request.remaining_ms(now_ms);
     if !may_repeat {
         return remaining_ms;
     }
-    let part_ms = request.admission.route.aim_ms as f64 * TRY_PART_OF_AIM;
-    (part_ms as u64).max(MIN_TRY_MS).min(remaining_ms)
+    let scaled_ms = request.admission.route.aim_ms as f64 * TRY_TIMEOUT_FACTOR;
+    (scaled_ms as u64).max(MIN_TRY_TIMEOUT_MS).min(remaining_ms)
 }
 
 async fn try_once(
     relay: &Relay,
     request: &CallerRequest,
     attempt: &mut Attempt,
-) -> Result<(Tried, ResponseMeta), AttemptError> {
-    let outgoing = request.outgoing(&attempt.record, relay.now_ms(), None, None);
-    let (response, meta) = request.send(attempt, &outgoing).await?;
+) -> Result<(TryOutcome, ResponseMeta), AttemptError> {
+    let upstream_request = request.upstream_request(&attempt.record, relay.now_ms(), None, None);
+    let (response, meta) = request.send(attempt, &upstream_request).await?;
     let (parts, body) = response.into_parts();
     let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
     let body = body.map_err(|error| AttemptError::Lost(error.to_string()))?.to_bytes();
     if meta.is_not_run {
-        return Ok((Tried::NotRun, meta));
+        return Ok((TryOutcome::NotRun, meta));
     }
-    check_signature(parts.status, &meta)?;
-    let response = pass_on(parts.status, &parts.headers, body);
-    let tried = if parts.status.is_server_error() {
-        Tried::Failure(response)
+    check_seal(parts.status, &meta)?;
+    let response = forward_response(parts.status, &parts.headers, body);
+    let outcome = if parts.status.is_server_error() {
+        TryOutcome::Failure(response)
     } else {
-        Tried::Answer(response)
+        TryOutcome::Answer(response)
     };
     let took_ms = relay.now_ms().saturating_sub(request.arrived_ms);
     info!(
@@ -184,10 +184,14 @@
         took_ms = took_ms;
         "upstream answered"
     );
-    Ok((tried, meta))
+    Ok((outcome, meta))
 }
 
-fn pass_on(status: StatusCode, headers: &hyper::HeaderMap, body: Bytes) -> Response<AnswerBody> {
+fn forward_response(
+    status: StatusCode,
+    headers: &hyper::HeaderMap,
+    body: Bytes,
+) -> Response<ResponseBody> {
     let body = Full::new(body).map_err(|never| match never {}).boxed_unsync();
     let mut response = Response::new(body);
     *response.status_mut() = status;
--- a/crates/entry/src/relay/platform_check.rs
+++ b/crates/entry/src/relay/platform_check.rs
@@ -23,7 +23,7 @@
             Ok(_) | Err(_) => None,
         };
         let outcome = suspicion.on_check(failure.is_none(), relay.now_ms());
-        relay.set_platform_silent(failure.is_some());
+        relay.set_platform_unresponsive(failure.is_some());
         if outcome.breaks_polls {
             match failure {
                 Some(error) => {
@@ -31,7 +31,7 @@
                 }
                 None => info!("platform answers again, lists are read again"),
             }
-            relay.read_lists_again();
+            relay.relist();
         }
         tokio::time::sleep(Duration::from_millis(outcome.next_check_ms)).await;
     }
--- a/crates/entry/src/relay/pool.rs
+++ b/crates/entry/src/relay/pool.rs
@@ -22,16 +22,16 @@
 /// Time after which a connection is closed whose sent bytes nobody acknowledges, in milliseconds.
 const UNACKNOWLEDGED_TIMEOUT_MS: u64 = 1_500;
 /// Silence after which a connection is probed, in seconds; the shortest that the system takes.
-const KEEPALIVE_S: u64 = 1;
+const KEEPALIVE_INTERVAL_S: u64 = 1;
 /// Probes without an answer after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 2;
 /// Idle time after which a connection is not used again, in milliseconds, unless the upstream says
 /// less.
-const IDLE_MS: u64 = 4_000;
+const MAX_IDLE_MS: u64 = 4_000;
 /// Part of the upstream's own idle time within which a connection is used again.
-const IDLE_PART: f64 = 0.6;
+const IDLE_TIMEOUT_FRACTION: f64 = 0.6;
 /// Idle connections that are kept for one upstream.
-const MAX_IDLE: usize = 16;
+const MAX_IDLE_PER_UPSTREAM: usize = 16;
 
 /// Why no answer head arrived.
 #[derive(Debug, Display, Error, From)]
@@ -62,18 +62,18 @@
 }
 
 #[derive(Debug)]
-struct Idle {
+struct IdleConnection {
     connection: Connection,
     expires_ms: u64,
 }
 
 /// Idle connections of all upstreams.
 #[derive(Debug, Default)]
-pub(crate) struct Pool {
-    idle: Mutex<FastMap<UpstreamKey, Vec<Idle>>>,
+pub(crate) struct ConnectionPool {
+    idle: Mutex<FastMap<UpstreamKey, Vec<IdleConnection>>>,
 }
 
-impl Pool {
+impl ConnectionPool {
     /// Takes an idle connection, if one is left.
     pub(crate) fn take_idle(&self, upstream: UpstreamKey, now_ms: u64) -> Option<Connection> {
         let mut idle = lock(&self.idle);
@@ -87,7 +87,7 @@
     }
 
     /// Keeps a connection whose answer was read whole.
-    pub(crate) fn keep(
+    pub(crate) fn store_idle(
         &self,
         upstream: UpstreamKey,
         connection: Connection,
@@ -97,12 +97,13 @@
         if connection.sender.is_closed() {
             return;
         }
-        let own_ms = idle_timeout_ms.map_or(IDLE_MS, |it| (it as f64 * IDLE_PART) as u64);
-        let expires_ms = now_ms + own_ms.min(IDLE_MS);
+        let usable_ms =
+            idle_timeout_ms.map_or(MAX_IDLE_MS, |it| (it as f64 * IDLE_TIMEOUT_FRACTION) as u64);
+        let expires_ms = now_ms + usable_ms.min(MAX_IDLE_MS);
         let mut idle = lock(&self.idle);
         let connections = idle.entry(upstream).or_default();
-        if connections.len() < MAX_IDLE {
-            connections.push(Idle { connection, expires_ms });
+        if connections.len() < MAX_IDLE_PER_UPSTREAM {
+            connections.push(IdleConnection { connection, expires_ms });
         }
     }
 
@@ -126,7 +127,7 @@
         let limit = Duration::from_millis(CONNECT_TIMEOUT_MS);
         let connecting = tokio::time::timeout(limit, TcpStream::connect(address)).await;
         let stream = connecting.unwrap_or_else(|_| Err(std::io::ErrorKind::TimedOut.into()))?;
-        prepare(&stream)?;
+        set_socket_options(&stream)?;
         let (sender, connection) = http1::handshake(TokioIo::new(stream)).await?;
         let driver = tokio::spawn(async move {
             // The request in progress reports the same to its caller.
@@ -155,12 +156,12 @@
 }
 
 /// Sets the options that notice a silent peer.
-pub(crate) fn prepare(stream: &TcpStream) -> std::io::Result<()> {
+pub(crate) fn set_socket_options(stream: &TcpStream) -> std::io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     let keepalive = TcpKeepalive::new()
-        .with_time(Duration::from_secs(KEEPALIVE_S))
-        .with_interval(Duration::from_secs(KEEPALIVE_S))
+        .with_time(Duration::from_secs(KEEPALIVE_INTERVAL_S))
+        .with_interval(Duration::from_secs(KEEPALIVE_INTERVAL_S))
         .with_retries(KEEPALIVE_PROBES);
     socket.set_tcp_keepalive(&keepalive)?;
     socket.set_tcp_user_timeout(Some(Duration::from_millis(UNACKNOWLEDGED_TIMEOUT_MS)))
--- a/crates/entry/src/relay/release.rs
+++ b/crates/entry/src/relay/release.rs
@@ -17,14 +17,14 @@
 };
 
 /// Time for which an owner is given results to release, in milliseconds: their lifetime.
-const RELEASE_LIMIT_MS: u64 = 4_000;
+const DELEGATE_TIMEOUT_MS: u64 = 4_000;
 
 /// Results to release, by the upstream that holds them.
 #[derive(Debug, Default)]
-pub(crate) struct Releases {
+pub(crate) struct ResultReleases {
     waiting: Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>,
     /// Results that another entry has left to this one, as the owner of their service.
-    own: Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>,
+    delegated: Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>,
 }
 
 /// Results of one request that are released when it ends, however that happens.
@@ -62,59 +62,62 @@
     }
 }
 
-impl Releases {
+impl ResultReleases {
     /// Notes results that nobody needs any more.
     pub(crate) fn add(&self, handles: Vec<ResultHandle>) {
-        sort_in(&self.waiting, handles);
+        queue_by_holder(&self.waiting, handles);
     }
 
     /// Notes results whose release another entry has left to this one.
-    pub(crate) fn add_own(&self, handles: Vec<ResultHandle>) {
-        sort_in(&self.own, handles);
+    pub(crate) fn add_delegated(&self, handles: Vec<ResultHandle>) {
+        queue_by_holder(&self.delegated, handles);
     }
 
     /// Leaves results to the owners of their services, and releases the own ones with one call for
     /// each upstream.
-    pub(crate) fn send_all(&self, relay: &Arc<Relay>) {
+    pub(crate) fn flush(&self, relay: &Arc<Relay>) {
         let waiting = mem::take(&mut *lock(&self.waiting));
-        for (maker, handles) in waiting {
-            match owner_of(relay, maker) {
-                Owner::Other(peer) => {
-                    tokio::spawn(leave_to(peer, handles));
+        for (holder, handles) in waiting {
+            match owner_of(relay, holder) {
+                Owner::Remote(peer) => {
+                    tokio::spawn(delegate(peer, handles));
                 }
-                Owner::Own => self.add_own(handles),
+                Owner::Local => self.add_delegated(handles),
             }
         }
-        let own = mem::take(&mut *lock(&self.own));
-        for (maker, handles) in own {
+        let delegated = mem::take(&mut *lock(&self.delegated));
+        for (holder, handles) in delegated {
             // Results do not outlive their maker.
-            let Some(key) = relay.upstreams().at_address(maker) else { continue };
+            let Some(key) = relay.upstreams().at_address(holder) else { continue };
             tokio::spawn(release(relay.clone(), key, handles));
         }
     }
 }
 
-fn sort_in(waiting: &Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>, handles: Vec<ResultHandle>) {
+fn queue_by_holder(
+    waiting: &Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>,
+    handles: Vec<ResultHandle>,
+) {
     let mut waiting = lock(waiting);
     for handle in handles {
-        let Some(maker) = result_holder(&handle) else {
+        let Some(holder) = result_holder(&handle) else {
             warn!(handle:% = handle; "result names no maker; it expires by itself");
             continue;
         };
-        waiting.entry(maker).or_default().push(handle);
+        waiting.entry(holder).or_default().push(handle);
     }
 }
 
-fn owner_of(relay: &Relay, maker: SocketAddr) -> Owner {
-    let service = relay.upstreams().service_at(maker).cloned();
+fn owner_of(relay: &Relay, holder: SocketAddr) -> Owner {
+    let service = relay.upstreams().service_at(holder).cloned();
     match service {
         Some(service) => relay.peers.owner(relay, &service),
-        None => Owner::Own,
+        None => Owner::Local,
     }
 }
 
-async fn leave_to(peer: Peer, handles: Vec<ResultHandle>) {
-    if let Err(error) = peer.client.release(context_for(RELEASE_LIMIT_MS), handles).await {
+async fn delegate(peer: Peer, handles: Vec<ResultHandle>) {
+    if let Err(error) = peer.client.release(context_for(DELEGATE_TIMEOUT_MS), handles).await {
         warn!(error:% = error; "release was not left to the owner; the results expire by themselves");
     }
 }
--- a/crates/entry/src/relay/request.rs
+++ b/crates/entry/src/relay/request.rs
@@ -24,11 +24,11 @@
 use crate::{
     caller::problem::Problem,
     relay::{
-        attempt::{Attempt, AttemptError, Outgoing},
+        attempt::{Attempt, AttemptError, UpstreamRequest},
         metrics::RequestLabels,
         model, plain,
         sabotage::Mechanism,
-        state::{InProgress, Relay},
+        state::{InProgressGuard, Relay},
     },
 };
 
@@ -42,12 +42,12 @@
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
 /// Body of an answer to a caller.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, ResponseAborted>;
 
 /// The answer ends before it is whole; the connection has to show it.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error)]
 #[display("answer broken off")]
-pub(crate) struct BrokenOff;
+pub(crate) struct ResponseAborted;
 
 /// A request that the configuration allows.
 pub(crate) struct CallerRequest {
@@ -125,11 +125,11 @@
     pub(crate) async fn send(
         &self,
         attempt: &mut Attempt,
-        outgoing: &Outgoing,
+        upstream_request: &UpstreamRequest,
     ) -> Result<(Response<Incoming>, ResponseMeta), AttemptError> {
         // Counted before the first byte, so that a cancelled call counts as one that may have run.
         self.sent.fetch_add(1, Ordering::Relaxed);
-        let sent = attempt.send(outgoing).await;
+        let sent = attempt.send(upstream_request).await;
         let is_not_run = match &sent {
             Ok((_, meta)) => meta.is_not_run,
             Err(error) => matches!(error, AttemptError::Unreachable(_)),
@@ -141,13 +141,13 @@
     }
 
     /// Builds the request to an upstream.
-    pub(crate) fn outgoing(
+    pub(crate) fn upstream_request(
         &self,
         upstream: &UpstreamRecord,
         now_ms: u64,
         inputs: Option<String>,
         last_event_id: Option<u64>,
-    ) -> Outgoing {
+    ) -> UpstreamRequest {
         let call = AddedHeaders {
             upstream_id: &upstream.id,
             remaining_ms: self.remaining_ms(now_ms),
@@ -155,7 +155,7 @@
             inputs,
             last_event_id,
         };
-        Outgoing {
+        UpstreamRequest {
             method: self.method.clone(),
             uri: self.uri.clone(),
             headers: upstream_headers(&self.headers, &call),
@@ -165,7 +165,7 @@
     }
 
     /// Builds the answer to a request that gets none of an upstream.
-    pub(crate) fn refuse(&self, relay: &Relay, refusal: &Refusal) -> Response<AnswerBody> {
+    pub(crate) fn refuse(&self, relay: &Relay, refusal: &Refusal) -> Response<ResponseBody> {
         let may_have_run =
             self.sent.load(Ordering::Relaxed) > 0 && !Mechanism::TrueRefusal.is_off();
         let (status, outcome) = if may_have_run {
@@ -203,10 +203,13 @@
 }
 
 /// Serves one request.
-pub(crate) async fn handle(relay: Arc<Relay>, request: Request<Incoming>) -> Response<AnswerBody> {
+pub(crate) async fn handle_request(
+    relay: Arc<Relay>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     let in_progress = relay.begin_request();
     let arrived_ms = relay.now_ms();
-    relay.until_fresh().await;
+    relay.wait_until_fresh().await;
     let (parts, body) = request.into_parts();
     let head = decode_caller_headers(&parts.headers);
     // A request may come without an identifier; its log lines then show an empty one.
@@ -258,8 +261,8 @@
 async fn serve(
     relay: &Arc<Relay>,
     request: &Arc<CallerRequest>,
-    in_progress: InProgress,
-) -> Response<AnswerBody> {
+    in_progress: InProgressGuard,
+) -> Response<ResponseBody> {
     let limit = Duration::from_millis(request.remaining_ms(relay.now_ms()));
     let served = async {
         match request.admission.route.kind {
@@ -324,7 +327,7 @@
 }
 
 /// Answers a request that was not taken up.
-fn reject(relay: &Relay, id: &str, problem: &Problem) -> Response<AnswerBody> {
+fn reject(relay: &Relay, id: &str, problem: &Problem) -> Response<ResponseBody> {
     info!(
         id = id,
         reason:% = problem.reason,
@@ -341,7 +344,7 @@
     answer_problem(problem, id)
 }
 
-fn answer_problem(problem: &Problem, id: &str) -> Response<AnswerBody> {
+fn answer_problem(problem: &Problem, id: &str) -> Response<ResponseBody> {
     let response = problem.to_response(id);
     let mut response = response.map(|body| body.map_err(|never| match never {}).boxed_unsync());
     if let Some(retry_after_ms) = problem.retry_after_ms {
--- a/crates/entry/src/relay/server.rs
+++ b/crates/entry/src/relay/server.rs
@@ -17,7 +17,7 @@
     http::{Body, METRICS_TEXT, respond},
 };
 
-use crate::relay::{pool::prepare, request::handle, state::Relay};
+use crate::relay::{pool::set_socket_options, request::handle_request, state::Relay};
 
 /// Serves callers until `stop` is cancelled, then finishes the requests in progress.
 pub(crate) async fn serve_callers(
@@ -27,14 +27,14 @@
 ) {
     let graceful = GracefulShutdown::new();
     accept(&listener, &stop, |stream| {
-        if let Err(error) = prepare(&stream) {
+        if let Err(error) = set_socket_options(&stream) {
             warn!(error:% = error; "options of a caller's connection can't be set");
         }
         // Before the first configuration the defaults hold, and requests are refused.
         let limits = relay.table().map(|it| it.limits()).unwrap_or_default();
         let relay = relay.clone();
         let service = service_fn(move |request| {
-            let answer = handle(relay.clone(), request);
+            let answer = handle_request(relay.clone(), request);
             async move { Ok::<_, Infallible>(answer.await) }
         });
         let mut builder = http1::Builder::new();
@@ -57,12 +57,12 @@
 }
 
 /// Answers whether callers may come.
-pub(crate) async fn answer_ready(relay: Arc<Relay>, _: Request<Incoming>) -> Response<Body> {
+pub(crate) async fn handle_ready(relay: Arc<Relay>, _: Request<Incoming>) -> Response<Body> {
     let status = if relay.is_ready() { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE };
     respond(status, "text/plain", "")
 }
 
 /// Answers with the metrics.
-pub(crate) async fn answer_metrics(relay: Arc<Relay>, _: Request<Incoming>) -> Response<Body> {
+pub(crate) async fn handle_metrics(relay: Arc<Relay>, _: Request<Incoming>) -> Response<Body> {
     respond(StatusCode::OK, METRICS_TEXT, relay.metrics.encode())
 }
--- a/crates/entry/src/relay/settings.rs
+++ b/crates/entry/src/relay/settings.rs
@@ -88,7 +88,7 @@
         .env("YUCCATRAIL_GRACE_PERIOD_S")
         .help("Time from the signal of a planned stop to the kill, in seconds")
         .argument("S")
-        .guard(is_time, "grace-period-s must not be negative")
+        .guard(is_non_negative, "grace-period-s must not be negative")
         .fallback(8.0)
         .map(|it: f64| (it * 1_000.0) as u64);
     let retries = retries();
@@ -100,13 +100,13 @@
         .env("YUCCATRAIL_RETRY_RATIO")
         .help("Retries for each request of the window, over all entries")
         .argument("RATIO")
-        .guard(is_time, "retry-ratio must not be negative")
+        .guard(is_non_negative, "retry-ratio must not be negative")
         .fallback(0.1);
     let slack = long("retry-slack")
         .env("YUCCATRAIL_RETRY_SLACK")
         .help("Retries beyond the ratio in each window, over all entries")
         .argument("NUMBER")
-        .guard(is_time, "retry-slack must not be negative")
+        .guard(is_non_negative, "retry-slack must not be negative")
         .fallback(10.0);
     let window_ms = long("retry-window-s")
         .env("YUCCATRAIL_RETRY_WINDOW_S")
@@ -139,7 +139,7 @@
 /// # Errors
 ///
 /// Returns what is wrong with the settings; those in force stay.
-pub(crate) fn read_again() -> Result<RelaySettings, String> {
+pub(crate) fn reread() -> Result<RelaySettings, String> {
     let words = std::env::args_os().skip(1).collect();
     let words = with_rendered_settings(words).map_err(|it| it.to_string())?;
     let options = options().to_options();
@@ -147,6 +147,6 @@
     options.run_inner(flags).map_err(|it| it.unwrap_stderr())
 }
 
-fn is_time(value: &f64) -> bool {
+fn is_non_negative(value: &f64) -> bool {
     value.is_finite() && *value >= 0.0
 }
--- a/crates/entry/src/relay/stages.rs
+++ b/crates/entry/src/relay/stages.rs
@@ -30,25 +30,25 @@
 };
 
 /// Times the expected duration after which a call is given up.
-const CALL_LIMIT_FACTOR: u64 = 6;
+const CALL_TIMEOUT_FACTOR: u64 = 6;
 /// Shortest limit of a call, in milliseconds; a call that waits behind two others takes a second.
-const MIN_CALL_LIMIT_MS: u64 = 2_000;
+const MIN_CALL_TIMEOUT_MS: u64 = 2_000;
 
 /// Time after which an upstream has read the inputs of a call, in milliseconds: a few megabytes take
 /// one, the way to another data centre a few, a lost packet up to a hundred.
-const READ_MS: u64 = 120;
+const INPUT_READ_MS: u64 = 120;
 /// Owners that are asked for the work of one stage before this entry does it itself.
-const MAX_OWNERS: usize = 3;
+const MAX_OWNER_TRIES: usize = 3;
 /// Time beyond the deadline for which an owner's answer is awaited, in milliseconds.
 const PEER_SLACK_MS: u64 = 100;
 
 /// How the work of a stage ended, with its results.
-type Ending = (GroupEnd, Vec<ResultHandle>);
+type StageOutcome = (GroupEnd, Vec<ResultHandle>);
 
 #[derive(Debug)]
 struct Queue {
     batcher: Batcher,
-    waiters: FastMap<GroupKey, oneshot::Sender<Ending>>,
+    waiters: FastMap<GroupKey, oneshot::Sender<StageOutcome>>,
 }
 
 /// Queues of all stage services.
@@ -58,13 +58,13 @@
 }
 
 /// Cancels the work of a stage whose request has gone.
-struct Waiting {
+struct GroupGuard {
     relay: Arc<Relay>,
     service: Arc<str>,
     group: GroupKey,
 }
 
-impl Drop for Waiting {
+impl Drop for GroupGuard {
     fn drop(&mut self) {
         let unused = self.relay.stages.cancel(&self.service, self.group);
         self.relay.releases.add(unused);
@@ -98,9 +98,9 @@
         relay: &Arc<Relay>,
         service: &Arc<str>,
         work: StageWork,
-    ) -> Ending {
-        for _ in 0..MAX_OWNERS {
-            let Owner::Other(peer) = relay.peers.owner(relay, service) else { break };
+    ) -> StageOutcome {
+        for _ in 0..MAX_OWNER_TRIES {
+            let Owner::Remote(peer) = relay.peers.owner(relay, service) else { break };
             let now_ms = relay.now_ms();
             let sent = work.without_clock(now_ms);
             let context = context_for(sent.deadline_ms + PEER_SLACK_MS);
@@ -119,14 +119,18 @@
                 }
             }
         }
-        self.run_here(relay, service, work).await
+        self.run_locally(relay, service, work).await
     }
 
     /// Makes the pieces that another entry asks for.
-    pub(crate) async fn run_for_peer(&self, relay: &Arc<Relay>, request: StageRequest) -> Ending {
+    pub(crate) async fn run_for_peer(
+        &self,
+        relay: &Arc<Relay>,
+        request: StageRequest,
+    ) -> StageOutcome {
         let service: Arc<str> = request.service.into();
         let work = request.work.on_clock(relay.now_ms());
-        self.run_here(relay, &service, work).await
+        self.run_locally(relay, &service, work).await
     }
 
     /// Returns the state of all queues, for other entries.
@@ -135,18 +139,25 @@
         let now_ms = relay.now_ms();
         let mut states = Vec::with_capacity(services.len());
         for service in services {
-            let Some(wait_ms) = self.own_estimate_ms(relay, &service, 1, now_ms) else { continue };
+            let Some(wait_ms) = self.local_estimate_ms(relay, &service, 1, now_ms) else {
+                continue;
+            };
             states.push(QueueState {
                 service: service.to_string(),
                 wait_ms: wait_ms as u64,
-                is_pressed: self.is_pressed_here(&service),
+                is_pressed: self.is_pressed_locally(&service),
             });
         }
         states
     }
 
-    async fn run_here(&self, relay: &Arc<Relay>, service: &Arc<str>, work: StageWork) -> Ending {
-        if !self.can_be_in_time(relay, service, &work) {
+    async fn run_locally(
+        &self,
+        relay: &Arc<Relay>,
+        service: &Arc<str>,
+        work: StageWork,
+    ) -> StageOutcome {
+        if !self.can_meet_deadline(relay, service, &work) {
             return (GroupEnd::Late, Vec::new());
         }
         let (sender, receiver) = oneshot::channel();
@@ -160,16 +171,16 @@
             queue.waiters.insert(group, sender);
             group
         };
-        let waiting = Waiting { relay: relay.clone(), service: service.clone(), group };
-        self.pump(relay, service);
-        let ending = receiver.await.unwrap_or((GroupEnd::Failed, Vec::new()));
-        drop(waiting);
-        ending
+        let guard = GroupGuard { relay: relay.clone(), service: service.clone(), group };
+        self.start_calls(relay, service);
+        let outcome = receiver.await.unwrap_or((GroupEnd::Failed, Vec::new()));
+        drop(guard);
+        outcome
     }
 
     /// Tells whether the queue lets the work meet its deadline.
-    fn can_be_in_time(&self, relay: &Relay, service: &str, work: &StageWork) -> bool {
-        let needed_ms = self.own_estimate_ms(relay, service, work.pieces, work.aim_ms);
+    fn can_meet_deadline(&self, relay: &Relay, service: &str, work: &StageWork) -> bool {
+        let needed_ms = self.local_estimate_ms(relay, service, work.pieces, work.aim_ms);
         needed_ms.is_none_or(|it| relay.now_ms() as f64 + it <= work.deadline_ms as f64)
     }
 
@@ -182,13 +193,13 @@
         aim_ms: u64,
     ) -> Option<f64> {
         if let Some(wait_ms) = relay.peers.wait_ms(relay, service) {
-            let own_ms = self.duration_ms(service, pieces) - self.duration_ms(service, 1);
-            return Some(wait_ms as f64 + own_ms.max(0.0));
+            let extra_ms = self.duration_ms(service, pieces) - self.duration_ms(service, 1);
+            return Some(wait_ms as f64 + extra_ms.max(0.0));
         }
-        self.own_estimate_ms(relay, service, pieces, aim_ms)
+        self.local_estimate_ms(relay, service, pieces, aim_ms)
     }
 
-    fn own_estimate_ms(
+    fn local_estimate_ms(
         &self,
         relay: &Relay,
         service: &str,
@@ -219,7 +230,7 @@
                 queue.batcher.release(handle);
             }
         }
-        self.pump_all(relay);
+        self.start_all_calls(relay);
     }
 
     /// Gives up hopeless work, repeats overdue calls and starts what can start.
@@ -236,23 +247,23 @@
             let upstreams = relay.upstreams();
             queue.batcher.keep_engines(|it| upstreams.get(it).is_some());
         }
-        self.pump_all(relay);
+        self.start_all_calls(relay);
     }
 
     /// Starts the calls that can start, of all services.
-    pub(crate) fn pump_all(&self, relay: &Arc<Relay>) {
+    pub(crate) fn start_all_calls(&self, relay: &Arc<Relay>) {
         let services: Vec<Arc<str>> = lock(&self.queues)
             .iter()
             .filter(|(_, it)| it.batcher.waiting() > 0)
             .map(|(service, _)| service.clone())
             .collect();
         for service in services {
-            self.pump(relay, &service);
+            self.start_calls(relay, &service);
         }
     }
 
-    fn pump(&self, relay: &Arc<Relay>, service: &Arc<str>) {
-        if relay.has_to_wait() {
+    fn start_calls(&self, relay: &Arc<Relay>, service: &Arc<str>) {
+        if relay.must_wait_for_lists() {
             return;
         }
         let now_ms = relay.now_ms();
@@ -272,27 +283,27 @@
         queue.batcher.cancel(group)
     }
 
-    fn is_pressed_here(&self, service: &str) -> bool {
+    fn is_pressed_locally(&self, service: &str) -> bool {
         lock(&self.queues).get(service).is_some_and(|it| it.batcher.is_pressed())
     }
 
     /// Releases the inputs that a call has read, where their makers lack room.
-    fn let_inputs_go(&self, relay: &Relay, call: &StageCall) {
+    fn release_read_inputs(&self, relay: &Relay, call: &StageCall) {
         let services = self.services();
         let is_pressed = |service: &Arc<str>| {
             let at_owner = relay.peers.is_pressed(relay, service);
-            at_owner.unwrap_or_else(|| self.is_pressed_here(service))
+            at_owner.unwrap_or_else(|| self.is_pressed_locally(service))
         };
         let pressed: Vec<Arc<str>> = services.into_iter().filter(is_pressed).collect();
         if pressed.is_empty() {
             return;
         }
-        let is_wanted_back = |handle: &ResultHandle| {
-            let Some(maker) = result_holder(handle) else { return false };
-            relay.upstreams().service_at(maker).is_some_and(|it| pressed.contains(it))
+        let is_holder_pressed = |handle: &ResultHandle| {
+            let Some(holder) = result_holder(handle) else { return false };
+            relay.upstreams().service_at(holder).is_some_and(|it| pressed.contains(it))
         };
         let handles = match lock(&self.queues).get_mut(&call.service) {
-            Some(queue) => queue.batcher.let_inputs_go(call.order.call, is_wanted_back),
+            Some(queue) => queue.batcher.let_inputs_go(call.order.call, is_holder_pressed),
             None => return,
         };
         relay.releases.add(handles);
@@ -306,7 +317,7 @@
             let settled = queue.batcher.finish(call.order.call, result, now_ms);
             queue.deliver(relay, settled);
         }
-        self.pump(relay, &call.service);
+        self.start_calls(relay, &call.service);
     }
 }
 
@@ -353,7 +364,7 @@
             warn!(service:% = service, error:% = error; "stage call can't be encoded");
         }
         let expected_ms = order.expected_end_ms.saturating_sub(now_ms);
-        let limit_ms = (expected_ms * CALL_LIMIT_FACTOR).max(MIN_CALL_LIMIT_MS);
+        let limit_ms = (expected_ms * CALL_TIMEOUT_FACTOR).max(MIN_CALL_TIMEOUT_MS);
         Self {
             service: service.clone(),
             order,
@@ -374,9 +385,9 @@
         let mut sending = std::pin::pin!(send_call(&relay, &call));
         tokio::select! {
             result = &mut sending => return result,
-            () = tokio::time::sleep(Duration::from_millis(READ_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(INPUT_READ_MS)) => {}
         }
-        relay.stages.let_inputs_go(&relay, &call);
+        relay.stages.release_read_inputs(&relay, &call);
         sending.await
     };
     let result = match tokio::time::timeout(limit, sending).await {
--- a/crates/entry/src/relay/state.rs
+++ b/crates/entry/src/relay/state.rs
@@ -23,12 +23,12 @@
 use yuccatrail_runtime::clock::Clock;
 
 use crate::relay::{
-    crashes::Crashes, metrics::RelayMetrics, peers::Peers, pool::Pool, release::Releases,
-    settings::RelaySettings, stages::StageQueues,
+    crashes::CrashTracker, metrics::RelayMetrics, peers::Peers, pool::ConnectionPool,
+    release::ResultReleases, settings::RelaySettings, stages::StageQueues,
 };
 
 /// Time between two looks whether beliefs are fresh; lists take some milliseconds.
-const FRESH_CHECK: Duration = Duration::from_millis(2);
+const FRESHNESS_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// State of one relay.
 pub(crate) struct Relay {
@@ -37,15 +37,15 @@
     /// Clock of all times in milliseconds.
     pub(crate) clock: Clock,
     /// Connections to upstreams.
-    pub(crate) pool: Pool,
+    pub(crate) pool: ConnectionPool,
     /// Queues of the stage services.
     pub(crate) stages: StageQueues,
     /// The other entries.
     pub(crate) peers: Peers,
     /// Results that nobody needs any more.
-    pub(crate) releases: Releases,
+    pub(crate) releases: ResultReleases,
     /// Requests that crash upstreams.
-    pub(crate) crashes: Crashes,
+    pub(crate) crashes: CrashTracker,
     /// Counters and histograms.
     pub(crate) metrics: RelayMetrics,
     table: Mutex<Option<Arc<RouteTable>>>,
@@ -53,10 +53,10 @@
     retries: Mutex<RetryShare>,
     freshness: Mutex<BeliefFreshness>,
     /// How far the lists can be trusted.
-    list_trust: watch::Sender<ListTrust>,
+    relist_signal: watch::Sender<RelistSignal>,
     is_stopping: AtomicBool,
     /// Cancelled when a planned stop gives up what no upstream has received.
-    gives_up_waiting: CancellationToken,
+    refuse_unsent_token: CancellationToken,
     /// Whether the platform's list of upstreams can be followed now.
     follows_platform: AtomicBool,
     in_progress: AtomicUsize,
@@ -64,19 +64,19 @@
 
 /// How far the lists of the platform can be trusted.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ListTrust {
+pub(crate) struct RelistSignal {
     /// Number of times that all lists had to be read again.
-    rereads: u64,
+    relists: u64,
     /// Whether the platform left the last check unanswered.
-    pub(crate) is_platform_silent: bool,
+    pub(crate) is_platform_unresponsive: bool,
 }
 
 /// Counts a request for as long as it is in progress.
-pub(crate) struct InProgress {
+pub(crate) struct InProgressGuard {
     relay: Arc<Relay>,
 }
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.relay.in_progress.fetch_sub(1, Ordering::Relaxed);
     }
@@ -88,19 +88,19 @@
         let own = Candidate { name: settings.name.clone(), cpu_share: settings.cpu_share };
         Arc::new(Self {
             clock: Clock::new(),
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             stages: StageQueues::default(),
             peers: Peers::new(own),
-            releases: Releases::default(),
-            crashes: Crashes::default(),
+            releases: ResultReleases::default(),
+            crashes: CrashTracker::default(),
             metrics: RelayMetrics::new(),
             table: Mutex::new(None),
             upstreams: Mutex::new(Upstreams::new(UpstreamsSettings::default(), &settings.name)),
             retries: Mutex::new(RetryShare::new(settings.bounds.retries)),
-            freshness: Mutex::new(BeliefFreshness::new(suspended_clock_ms())),
-            list_trust: watch::Sender::new(ListTrust::default()),
+            freshness: Mutex::new(BeliefFreshness::new(boottime_ms())),
+            relist_signal: watch::Sender::new(RelistSignal::default()),
             is_stopping: AtomicBool::new(false),
-            gives_up_waiting: CancellationToken::new(),
+            refuse_unsent_token: CancellationToken::new(),
             follows_platform: AtomicBool::new(true),
             in_progress: AtomicUsize::new(0),
             settings,
@@ -118,7 +118,7 @@
     }
 
     /// Puts a configuration in force unless it is older than the one that is; returns whether it did.
-    pub(crate) fn adopt(&self, table: RouteTable, source: &str) -> bool {
+    pub(crate) fn activate_configuration(&self, table: RouteTable, source: &str) -> bool {
         let mut current = lock(&self.table);
         if current.as_ref().is_some_and(|it| it.version() >= table.version()) {
             return false;
@@ -132,7 +132,7 @@
                 self.stages.configure(&service.name, stage);
             }
         }
-        self.peers.note_change();
+        self.peers.invalidate_polled_entries();
         self.upstreams().set_cold_starts(cold_starts);
         *current = Some(Arc::new(table));
         true
@@ -149,9 +149,9 @@
     }
 
     /// Counts a request until the returned value is dropped.
-    pub(crate) fn begin_request(self: &Arc<Self>) -> InProgress {
+    pub(crate) fn begin_request(self: &Arc<Self>) -> InProgressGuard {
         self.in_progress.fetch_add(1, Ordering::Relaxed);
-        InProgress { relay: self.clone() }
+        InProgressGuard { relay: self.clone() }
     }
 
     /// Returns the number of requests in progress.
@@ -161,49 +161,50 @@
 
     /// Notes that this process runs, and tells the feeds if it did not for a while; returns the time
     /// of the sign, in milliseconds.
-    pub(crate) fn note_sign_of_life(&self) -> u64 {
-        let now_ms = suspended_clock_ms();
+    pub(crate) fn detect_pause(&self) -> u64 {
+        let now_ms = boottime_ms();
         let pause_ms = lock(&self.freshness).note_sign(now_ms);
         if let Some(length_ms) = pause_ms {
             warn!(length_ms = length_ms; "this process did not run, lists are read again");
-            self.read_lists_again();
+            self.relist();
         }
         now_ms
     }
 
     /// Makes the feeds break off their polls and read their lists again.
-    pub(crate) fn read_lists_again(&self) {
-        self.list_trust.send_modify(|it| it.rereads += 1);
+    pub(crate) fn relist(&self) {
+        self.relist_signal.send_modify(|it| it.relists += 1);
     }
 
     /// Notes whether the platform answers checks; the feeds don't press one that does not.
-    pub(crate) fn set_platform_silent(&self, is_silent: bool) {
-        self.list_trust.send_if_modified(|it| {
-            let was_silent = std::mem::replace(&mut it.is_platform_silent, is_silent);
-            was_silent != is_silent
+    pub(crate) fn set_platform_unresponsive(&self, is_unresponsive: bool) {
+        self.relist_signal.send_if_modified(|it| {
+            let was_unresponsive =
+                std::mem::replace(&mut it.is_platform_unresponsive, is_unresponsive);
+            was_unresponsive != is_unresponsive
         });
     }
 
     /// Returns a receiver that changes each time that the lists have to be read again.
-    pub(crate) fn list_trust(&self) -> watch::Receiver<ListTrust> {
-        self.list_trust.subscribe()
+    pub(crate) fn relist_signal(&self) -> watch::Receiver<RelistSignal> {
+        self.relist_signal.subscribe()
     }
 
     /// Notes that a belief was read as a whole from the platform.
-    pub(crate) fn renew(&self, belief: Belief) {
-        lock(&self.freshness).renew(belief, suspended_clock_ms());
+    pub(crate) fn mark_fresh(&self, belief: Belief) {
+        lock(&self.freshness).renew(belief, boottime_ms());
     }
 
     /// Tells whether nothing may be sent before beliefs are fresh.
-    pub(crate) fn has_to_wait(&self) -> bool {
-        let now_ms = self.note_sign_of_life();
+    pub(crate) fn must_wait_for_lists(&self) -> bool {
+        let now_ms = self.detect_pause();
         lock(&self.freshness).has_to_wait(now_ms)
     }
 
     /// Waits until beliefs are fresh after a pause of this process.
-    pub(crate) async fn until_fresh(&self) {
-        while self.has_to_wait() {
-            tokio::time::sleep(FRESH_CHECK).await;
+    pub(crate) async fn wait_until_fresh(&self) {
+        while self.must_wait_for_lists() {
+            tokio::time::sleep(FRESHNESS_POLL_INTERVAL).await;
         }
     }
 
@@ -213,13 +214,13 @@
     }
 
     /// Refuses the requests that no upstream has received yet.
-    pub(crate) fn give_up_waiting(&self) {
-        self.gives_up_waiting.cancel();
+    pub(crate) fn refuse_unsent(&self) {
+        self.refuse_unsent_token.cancel();
     }
 
     /// Waits until requests that no upstream has received are refused.
-    pub(crate) async fn gives_up_waiting(&self) {
-        self.gives_up_waiting.cancelled().await;
+    pub(crate) async fn until_unsent_refused(&self) {
+        self.refuse_unsent_token.cancelled().await;
     }
 
     /// Notes whether the platform's list of upstreams can be followed.
@@ -241,7 +242,7 @@
 }
 
 /// Returns the time since the instance started, which counts suspensions, in milliseconds.
-fn suspended_clock_ms() -> u64 {
+fn boottime_ms() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
--- a/crates/entry/src/relay/stream.rs
+++ b/crates/entry/src/relay/stream.rs
@@ -22,14 +22,14 @@
 };
 
 use crate::relay::{
-    attempt::{Attempt, AttemptError, check_signature},
-    crashes::note_loss,
+    attempt::{Attempt, AttemptError, check_seal},
+    crashes::check_for_crash,
     model::wanted,
     plain::take_retry,
     release::HeldResults,
-    request::{AnswerBody, BrokenOff, CallerRequest, Refusal},
+    request::{CallerRequest, Refusal, ResponseAborted, ResponseBody},
     sabotage::Mechanism,
-    state::{InProgress, Relay},
+    state::{InProgressGuard, Relay},
 };
 
 /// Upstreams that are tried before a request is refused.
@@ -55,24 +55,24 @@
 }
 
 /// A stream whose first bytes have arrived, or an answer that is no stream.
-pub(crate) struct Opened {
-    relaying: Relaying,
+pub(crate) struct OpenedStream {
+    relayed: RelayedStream,
     status: StatusCode,
     headers: HeaderMap,
 }
 
 /// A stream between two events.
-struct Relaying {
+struct RelayedStream {
     call: ModelCall,
     source: Option<Source>,
-    first: Option<Bytes>,
+    first_bytes: Option<Bytes>,
     cutter: EventCutter,
     last_id: Option<EventId>,
     tried: Vec<UpstreamKey>,
     runs: u32,
     events_bytes: u64,
     held: Option<HeldResults>,
-    in_progress: Option<InProgress>,
+    in_progress: Option<InProgressGuard>,
 }
 
 /// The upstream's side of a stream.
@@ -83,28 +83,28 @@
 }
 
 /// A stream that has begun.
-struct OpenSource {
+struct OpenedSource {
     source: Source,
     status: StatusCode,
     headers: HeaderMap,
-    first: Option<Bytes>,
+    first_bytes: Option<Bytes>,
 }
 
 /// What one attempt to open a stream brought.
-enum Tried {
-    Open(Box<OpenSource>),
+enum OpenOutcome {
+    Open(Box<OpenedSource>),
     NotRun,
     InputGone,
     Lost,
 }
 
 /// Opens the stream at some upstream and waits for its first bytes.
-pub(crate) async fn open(call: ModelCall) -> Result<Opened, OpenError> {
+pub(crate) async fn open(call: ModelCall) -> Result<OpenedStream, OpenError> {
     let last_id = call.request.head.last_event_id;
-    let mut relaying = Relaying {
+    let mut relayed = RelayedStream {
         call,
         source: None,
-        first: None,
+        first_bytes: None,
         cutter: EventCutter::new(),
         last_id,
         tried: Vec::new(),
@@ -113,24 +113,24 @@
         held: None,
         in_progress: None,
     };
-    let (status, headers) = relaying.connect().await?;
-    Ok(Opened { relaying, status, headers })
+    let (status, headers) = relayed.connect().await?;
+    Ok(OpenedStream { relayed, status, headers })
 }
 
-impl Opened {
+impl OpenedStream {
     /// Builds the answer, which holds the results until the upstream has read them.
     pub(crate) fn into_response(
         mut self,
         mut held: HeldResults,
-        in_progress: InProgress,
-    ) -> Response<AnswerBody> {
+        in_progress: InProgressGuard,
+    ) -> Response<ResponseBody> {
         // The upstream has read its inputs before it makes the first event.
         held.release_all();
-        self.relaying.held = Some(held);
-        self.relaying.in_progress = Some(in_progress);
-        let frames = unfold(self.relaying, |mut relaying| async move {
-            let frame = relaying.next().await?;
-            Some((frame.map(Frame::data), relaying))
+        self.relayed.held = Some(held);
+        self.relayed.in_progress = Some(in_progress);
+        let frames = unfold(self.relayed, |mut relayed| async move {
+            let frame = relayed.next().await?;
+            Some((frame.map(Frame::data), relayed))
         });
         let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
         *response.status_mut() = self.status;
@@ -139,37 +139,37 @@
     }
 }
 
-impl Relaying {
+impl RelayedStream {
     /// Sends the request to one upstream after another until one begins to answer.
     async fn connect(&mut self) -> Result<(StatusCode, HeaderMap), OpenError> {
         let (relay, request) = (self.call.relay.clone(), self.call.request.clone());
         let max_runs = request.admission.route.max_runs();
-        let mut arrivals = self.runs;
+        let mut reached = self.runs;
         while self.tried.len() < MAX_TRIES && self.runs < max_runs {
-            relay.until_fresh().await;
-            let Some(attempt) = self.next_upstream() else { break };
-            if arrivals > 0 && !take_retry(&relay, &request) {
+            relay.wait_until_fresh().await;
+            let Some(attempt) = self.begin_next_attempt() else { break };
+            if reached > 0 && !take_retry(&relay, &request) {
                 break;
             }
             self.tried.push(attempt.key);
             let upstream = attempt.record.clone();
             match self.try_open(attempt).await {
-                Ok(Tried::Open(open)) => {
+                Ok(OpenOutcome::Open(open)) => {
                     self.runs += 1;
                     self.source = Some(open.source);
-                    self.first = open.first;
+                    self.first_bytes = open.first_bytes;
                     return Ok((open.status, open.headers));
                 }
-                Ok(Tried::NotRun) => arrivals += 1,
-                Ok(Tried::InputGone) => return Err(OpenError::InputGone),
-                Ok(Tried::Lost) => (self.runs, arrivals) = (self.runs + 1, arrivals + 1),
+                Ok(OpenOutcome::NotRun) => reached += 1,
+                Ok(OpenOutcome::InputGone) => return Err(OpenError::InputGone),
+                Ok(OpenOutcome::Lost) => (self.runs, reached) = (self.runs + 1, reached + 1),
                 Err(error) => {
                     warn!(id:% = request.id, error:% = error; "attempt failed");
                     if matches!(error, AttemptError::Lost(_)) {
-                        note_loss(&relay, &request, &upstream);
+                        check_for_crash(&relay, &request, &upstream);
                     }
                     if !matches!(error, AttemptError::Unreachable(_)) {
-                        (self.runs, arrivals) = (self.runs + 1, arrivals + 1);
+                        (self.runs, reached) = (self.runs + 1, reached + 1);
                     }
                 }
             }
@@ -178,7 +178,7 @@
         Err(OpenError::Refused(Refusal::busy(reason, BUSY_RETRY_MS)))
     }
 
-    fn next_upstream(&self) -> Option<Attempt> {
+    fn begin_next_attempt(&self) -> Option<Attempt> {
         let (relay, request) = (&self.call.relay, &self.call.request);
         let wanted = wanted(relay, request, self.call.affinity.as_ref(), &self.tried);
         let now_ms = relay.now_ms();
@@ -196,29 +196,31 @@
         Some(attempt)
     }
 
-    async fn try_open(&self, mut attempt: Attempt) -> Result<Tried, AttemptError> {
+    async fn try_open(&self, mut attempt: Attempt) -> Result<OpenOutcome, AttemptError> {
         let (relay, request) = (&self.call.relay, &self.call.request);
         let inputs = (!self.call.inputs.is_empty()).then(|| self.call.inputs.join(","));
         let now_ms = relay.now_ms();
-        let outgoing = request.outgoing(&attempt.record, now_ms, inputs, self.last_id);
-        let (response, meta) = request.send(&mut attempt, &outgoing).await?;
+        let upstream_request =
+            request.upstream_request(&attempt.record, now_ms, inputs, self.last_id);
+        let (response, meta) = request.send(&mut attempt, &upstream_request).await?;
         let (parts, mut body) = response.into_parts();
         if meta.is_not_run {
             // Only a whole answer leaves the connection usable.
             let is_whole = body.collect().await.is_ok();
-            let tried = if meta.is_input_gone { Tried::InputGone } else { Tried::NotRun };
+            let outcome =
+                if meta.is_input_gone { OpenOutcome::InputGone } else { OpenOutcome::NotRun };
             if is_whole {
                 attempt.finish(&meta);
             }
-            return Ok(tried);
+            return Ok(outcome);
         }
-        check_signature(parts.status, &meta)?;
+        check_seal(parts.status, &meta)?;
         if parts.status.is_server_error() && self.call.request.admission.route.is_repeatable() {
             warn!(id:% = request.id, status = parts.status.as_u16(); "upstream failed");
             attempt.fail();
-            return Ok(Tried::Lost);
+            return Ok(OpenOutcome::Lost);
         }
-        let first = match body.frame().await {
+        let first_bytes = match body.frame().await {
             Some(Ok(frame)) => frame.into_data().ok(),
             Some(Err(error)) => {
                 attempt.fail();
@@ -228,15 +230,15 @@
         };
         let headers = forwarded_headers(&parts.headers);
         let source = Source { attempt, meta, body };
-        let open = OpenSource { source, status: parts.status, headers, first };
-        Ok(Tried::Open(Box::new(open)))
+        let open = OpenedSource { source, status: parts.status, headers, first_bytes };
+        Ok(OpenOutcome::Open(Box::new(open)))
     }
 
     /// Returns the next bytes for the caller; none at the end of the stream.
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    async fn next(&mut self) -> Option<Result<Bytes, ResponseAborted>> {
         loop {
-            if let Some(bytes) = self.first.take()
-                && let Some(bytes) = self.take_in(&bytes)
+            if let Some(bytes) = self.first_bytes.take()
+                && let Some(bytes) = self.accept_bytes(&bytes)
             {
                 return Some(Ok(bytes));
             }
@@ -247,7 +249,7 @@
             match frame {
                 Ok(Some(Ok(frame))) => {
                     let Ok(bytes) = frame.into_data() else { continue };
-                    if let Some(bytes) = self.take_in(&bytes) {
+                    if let Some(bytes) = self.accept_bytes(&bytes) {
                         return Some(Ok(bytes));
                     }
                 }
@@ -256,22 +258,22 @@
                     return None;
                 }
                 Ok(None) => {
-                    if let Err(error) = self.go_on("it ended inside an event").await {
+                    if let Err(error) = self.resume("it ended inside an event").await {
                         return Some(Err(error));
                     }
                 }
                 Ok(Some(Err(error))) => {
-                    if let Err(error) = self.go_on(&error.to_string()).await {
+                    if let Err(error) = self.resume(&error.to_string()).await {
                         return Some(Err(error));
                     }
                 }
-                Err(_) => return Some(Err(self.break_off("time_over"))),
+                Err(_) => return Some(Err(self.abort("time_over"))),
             }
         }
     }
 
     /// Takes in bytes and returns what may be passed on.
-    fn take_in(&mut self, bytes: &Bytes) -> Option<Bytes> {
+    fn accept_bytes(&mut self, bytes: &Bytes) -> Option<Bytes> {
         let passed = if self.call.request.admission.route.is_resumable {
             let events = self.cutter.push(bytes)?;
             self.last_id = events.last_id.or(self.last_id);
@@ -284,7 +286,7 @@
     }
 
     /// Continues a broken stream at another upstream.
-    async fn go_on(&mut self, detail: &str) -> Result<(), BrokenOff> {
+    async fn resume(&mut self, detail: &str) -> Result<(), ResponseAborted> {
         let request = self.call.request.clone();
         if let Some(source) = self.source.take() {
             warn!(
@@ -294,11 +296,11 @@
                 detail = detail;
                 "stream broke"
             );
-            note_loss(&self.call.relay, &request, &source.attempt.record);
+            check_for_crash(&self.call.relay, &request, &source.attempt.record);
             source.attempt.fail();
         }
         if !request.admission.route.is_resumable {
-            return Err(self.break_off("upstream_lost"));
+            return Err(self.abort("upstream_lost"));
         }
         self.cutter = EventCutter::new();
         if Mechanism::ResumePosition.is_off() {
@@ -310,14 +312,14 @@
                 info!(id:% = request.id, after_event = self.last_id.unwrap_or(0); "stream goes on");
                 Ok(())
             }
-            _ => Err(self.break_off("not_resumed")),
+            _ => Err(self.abort("not_resumed")),
         }
     }
 
-    fn break_off(&mut self, reason: &'static str) -> BrokenOff {
+    fn abort(&mut self, reason: &'static str) -> ResponseAborted {
         self.source = None;
         self.log_end(reason);
-        BrokenOff
+        ResponseAborted
     }
 
     fn finish(&mut self) {
