--- a/crates/entry/src/relay/crashes.rs
+++ b/crates/entry/src/relay/crashes.rs
@@ -30,11 +30,11 @@
 
 /// Crashes counted against requests; shared by all tasks of the relay.
 #[derive(Debug, Default)]
-pub(crate) struct CrashTracker {
+pub(crate) struct RequestCrashes {
     watch: Mutex<CrashWatch>,
 }
 
-impl CrashTracker {
+impl RequestCrashes {
     /// Tells whether a request is refused because of the crashes counted against it.
     pub(crate) fn is_refused(&self, request: &CallerRequest, now_ms: u64) -> bool {
         let watch = lock(&self.watch);
--- a/crates/entry/src/relay/mod.rs
+++ b/crates/entry/src/relay/mod.rs
@@ -47,10 +47,10 @@
 /// Time for which a stopping relay still accepts connections, in milliseconds. The platform checks
 /// readiness every second and removes an instance from rotation after two failed checks.
 const READINESS_GRACE_MS: u64 = 2_600;
-/// Time before the kill at which a planned stop stops waiting for requests in progress, in
+/// Time before the kill at which a graceful shutdown stops waiting for requests in progress, in
 /// milliseconds.
 const STOP_MARGIN_MS: u64 = 400;
-/// Time before the end of a planned stop at which requests that no upstream has received are refused,
+/// Time before the end of a graceful shutdown at which requests that no upstream has received are refused,
 /// in milliseconds; a busy entry needs part of it to send all the refusals.
 const REFUSAL_MARGIN_MS: u64 = 300;
 /// Interval at which a stopping relay checks for requests in progress, in milliseconds.
@@ -58,7 +58,7 @@
 /// Timeout of one call to the platform's object store, in milliseconds; a slow store takes 240.
 const STORE_TIMEOUT_MS: u64 = 1_000;
 
-/// Runs a relay until a planned stop has finished.
+/// Runs a relay until a graceful shutdown has finished.
 pub(crate) async fn run(settings: RelaySettings) -> ExitCode {
     with_logs(settings.log_level, serve(settings)).await
 }
@@ -113,13 +113,13 @@
     peers::unregister(&relay, &client).await;
     finished.cancel();
     serving.abort();
-    info!("planned stop ends");
+    info!("graceful shutdown ends");
     Ok(())
 }
 
 /// Reports not ready, waits for the requests in progress and closes the connections.
 async fn stop(relay: &Arc<Relay>, closing: &CancellationToken) {
-    info!(in_progress = relay.in_progress(); "planned stop begins");
+    info!(in_progress = relay.in_progress(); "graceful shutdown begins");
     relay.begin_stop();
     let begun_ms = relay.now_ms();
     let limit_ms = relay.settings.bounds.grace_period_ms.saturating_sub(STOP_MARGIN_MS);
@@ -135,7 +135,7 @@
             relay.refuse_unsent();
         }
         if elapsed_ms >= limit_ms {
-            warn!(cut = relay.in_progress(); "time limit of the planned stop reached, requests are aborted");
+            warn!(cut = relay.in_progress(); "time limit of the graceful shutdown reached, requests are aborted");
             return;
         }
         tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
--- a/crates/entry/src/relay/peers/serve.rs
+++ b/crates/entry/src/relay/peers/serve.rs
@@ -67,7 +67,7 @@
     }
 
     async fn run_stage(self, _: Context, request: StageRequest) -> StageReply {
-        // A planned stop also waits for work on behalf of other entries.
+        // A graceful shutdown also waits for work on behalf of other entries.
         let _in_progress = self.relay.begin_request();
         let (end, handles) = self.relay.stages.run_for_peer(&self.relay, request).await;
         StageReply { end, handles }
--- a/crates/entry/src/relay/sabotage.rs
+++ b/crates/entry/src/relay/sabotage.rs
@@ -20,7 +20,7 @@
     OwnAnswer,
     /// A resumed stream continues after the last event that was forwarded.
     ResumePosition,
-    /// A planned stop waits for the requests in progress.
+    /// A graceful shutdown waits for the requests in progress.
     PatientStop,
 }
 
--- a/crates/entry/src/relay/settings.rs
+++ b/crates/entry/src/relay/settings.rs
@@ -40,7 +40,7 @@
 /// Limits that operators set for all entries.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Bounds {
-    /// Time from the signal of a planned stop to the kill, in milliseconds.
+    /// Time from the signal of a graceful shutdown to the kill, in milliseconds.
     pub(crate) grace_period_ms: u64,
     /// Limit on retries over all entries.
     pub(crate) retries: RetryLimit,
--- a/crates/entry/src/relay/state.rs
+++ b/crates/entry/src/relay/state.rs
@@ -23,7 +23,7 @@
 use yuccatrail_runtime::clock::Clock;
 
 use crate::relay::{
-    crashes::CrashTracker, metrics::RelayMetrics, peers::Peers, pool::ConnectionPool,
+    crashes::RequestCrashes, metrics::RelayMetrics, peers::Peers, pool::ConnectionPool,
     release::ResultReleases, settings::RelaySettings, stages::StageQueues,
 };
 
@@ -46,7 +46,7 @@
     /// Stage results to release at their upstreams.
     pub(crate) releases: ResultReleases,
     /// Tracks requests that crash upstreams.
-    pub(crate) crashes: CrashTracker,
+    pub(crate) crashes: RequestCrashes,
     /// Counters and histograms.
     pub(crate) metrics: RelayMetrics,
     table: Mutex<Option<Arc<RouteTable>>>,
@@ -56,7 +56,7 @@
     /// Tells the feeds to read their lists again.
     relist_signal: watch::Sender<RelistSignal>,
     is_stopping: AtomicBool,
-    /// Cancelled when a planned stop refuses the requests that no upstream has received.
+    /// Cancelled when a graceful shutdown refuses the requests that no upstream has received.
     refuse_unsent_token: CancellationToken,
     /// Whether the feed of upstreams currently gets responses from the platform.
     follows_platform: AtomicBool,
@@ -93,7 +93,7 @@
             stages: StageQueues::default(),
             peers: Peers::new(own),
             releases: ResultReleases::default(),
-            crashes: CrashTracker::default(),
+            crashes: RequestCrashes::default(),
             metrics: RelayMetrics::new(),
             table: Mutex::new(None),
             upstreams: Mutex::new(Upstreams::new(UpstreamsSettings::default(), &settings.name)),
@@ -209,7 +209,7 @@
         }
     }
 
-    /// Begins a planned stop, which makes the relay report not ready.
+    /// Begins a graceful shutdown, which makes the relay report not ready.
     pub(crate) fn begin_stop(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
@@ -220,7 +220,7 @@
         self.refuse_unsent_token.cancel();
     }
 
-    /// Waits until a planned stop refuses the requests that no upstream has received.
+    /// Waits until a graceful shutdown refuses the requests that no upstream has received.
     pub(crate) async fn until_unsent_refused(&self) {
         self.refuse_unsent_token.cancelled().await;
     }
