--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -113,8 +113,8 @@
     }
 
     /// Returns the key of a customer and takes over its current share.
-    pub fn customer(&mut self, name: &str, share: u32) -> CustomerKey {
-        self.fairness.customer(name, share)
+    pub fn register_customer(&mut self, name: &str, share: u32) -> CustomerKey {
+        self.fairness.register_customer(name, share)
     }
 
     /// Takes over the declared pipelines.
@@ -158,7 +158,8 @@
             }
             let run_ms = estimates.expected_ms(stage.pool, stage.max_tokens);
             need.run_ms += run_ms + STAGE_OVERHEAD_MS;
-            need.safe_ms += estimates.safe_ms(stage.pool, stage.max_tokens) + STAGE_OVERHEAD_MS;
+            need.safe_ms +=
+                estimates.conservative_ms(stage.pool, stage.max_tokens) + STAGE_OVERHEAD_MS;
             need.wait_ms += self.wait_ms(stage, run_ms);
             if let Some(&slack_ms) = self.least_slack_ms.get(&stage.pool) {
                 need.bearable_wait_ms = need.bearable_wait_ms.min(slack_ms);
@@ -216,7 +217,7 @@
         let upcoming = self.upcoming.get(&stage.pool).copied().unwrap_or(0);
         let upcoming = u64::from(upcoming) * entries_in_use(&stage.load);
         let ahead = u64::from(stage.load.outstanding) + upcoming;
-        let limit = u64::from(stage.load.limit.max(1));
+        let limit = u64::from(stage.load.projected_limit.max(1));
         if ahead < limit {
             return 0;
         }
@@ -285,7 +286,7 @@
 ///
 /// What the others have admitted and not sent is not reported, so this entry's own stands for it.
 fn entries_in_use(load: &PoolLoad) -> u64 {
-    let entries = u64::from(load.outstanding) / u64::from(load.own.max(1));
+    let entries = u64::from(load.outstanding) / u64::from(load.own_outstanding.max(1));
     entries.clamp(1, MAX_ENTRIES_IN_USE)
 }
 
--- a/crates/entry/src/relay/crashes.rs
+++ b/crates/entry/src/relay/crashes.rs
@@ -13,7 +13,7 @@
 use tokio::net::TcpStream;
 use yuccatrail_core::{
     ids::{Digest, Incarnation},
-    quarantine::{CrashWatch, RequestHash, Strike},
+    quarantine::{CrashTracker, RequestHash, Strike},
     upstreams::UpstreamRecord,
 };
 
@@ -31,7 +31,7 @@
 /// Crashes counted against requests; shared by all tasks of the relay.
 #[derive(Debug, Default)]
 pub(crate) struct RequestCrashes {
-    watch: Mutex<CrashWatch>,
+    watch: Mutex<CrashTracker>,
 }
 
 impl RequestCrashes {
@@ -48,7 +48,7 @@
 
     /// Returns the recent strikes, to share with other entries.
     pub(crate) fn recent(&self, now_ms: u64) -> Vec<Strike> {
-        lock(&self.watch).recent(now_ms)
+        lock(&self.watch).recent_strikes(now_ms)
     }
 
     /// Merges strikes that another entry shared.
--- a/crates/entry/src/relay/peers/hello.rs
+++ b/crates/entry/src/relay/peers/hello.rs
@@ -191,7 +191,7 @@
         known_revision = upstreams.revisions().upstreams;
         "fetched lists from another entry"
     );
-    let changed = upstreams.take_over(beliefs, now_ms);
+    let changed = upstreams.adopt_newer(beliefs, now_ms);
     drop(upstreams);
     log_evacuations(&changed);
     relay.stages.start_all_calls(relay);
--- a/crates/entry/src/relay/plain.rs
+++ b/crates/entry/src/relay/plain.rs
@@ -7,7 +7,7 @@
 use hyper::{Response, StatusCode};
 use log::{info, warn};
 use yuccatrail_adapter::{ResponseMeta, forwarded_headers};
-use yuccatrail_core::upstreams::{UpstreamKey, Wanted};
+use yuccatrail_core::upstreams::{SelectionCriteria, UpstreamKey};
 
 use crate::relay::{
     attempt::{Attempt, AttemptError, check_seal},
@@ -123,11 +123,11 @@
     request: &CallerRequest,
     tried: &[UpstreamKey],
 ) -> Option<Attempt> {
-    let wanted = Wanted {
+    let wanted = SelectionCriteria {
         service: &request.service,
         data_centre: Some(&relay.settings.data_centre),
         excluded: tried,
-        ..Wanted::default()
+        ..SelectionCriteria::default()
     };
     let now_ms = relay.now_ms();
     let key = relay.upstreams().choose(&wanted, now_ms)?;
@@ -152,7 +152,7 @@
     if !may_repeat {
         return remaining_ms;
     }
-    let scaled_ms = request.admission.route.aim_ms as f64 * TRY_TIMEOUT_FACTOR;
+    let scaled_ms = request.admission.route.target_latency_ms as f64 * TRY_TIMEOUT_FACTOR;
     (scaled_ms as u64).max(MIN_TRY_TIMEOUT_MS).min(remaining_ms)
 }
 
--- a/crates/entry/src/relay/request.rs
+++ b/crates/entry/src/relay/request.rs
@@ -17,7 +17,7 @@
 };
 use yuccatrail_core::{
     outcome::Execution,
-    route_table::{Admission, Denial, RouteKind, RouteTable},
+    route_table::{AuthorizedRequest, Denial, RouteKind, RouteTable},
     upstreams::UpstreamRecord,
 };
 
@@ -55,7 +55,7 @@
     /// Decoded headers.
     pub(crate) head: CallerHeaders,
     /// Matched route and customer.
-    pub(crate) admission: Admission,
+    pub(crate) admission: AuthorizedRequest,
     /// Service that the route's traffic split selected.
     pub(crate) service: Arc<str>,
     /// Arrival time, in milliseconds since the start of the relay.
@@ -104,7 +104,7 @@
     /// Returns the time by which a response meets the route's target latency, in milliseconds since the
     /// start of the relay.
     pub(crate) fn aim_ms(&self) -> u64 {
-        self.arrived_ms + self.admission.route.aim_ms
+        self.arrived_ms + self.admission.route.target_latency_ms
     }
 
     /// Returns the HTTP method.
@@ -235,7 +235,7 @@
         Ok(body) => body,
         Err(problem) => return reject(&relay, &id, &problem),
     };
-    let Some(service) = admission.route.target(rand::random()).cloned() else {
+    let Some(service) = admission.route.select_service(rand::random()).cloned() else {
         let problem = bad_request("no_service", "The route names no service.");
         return reject(&relay, &id, &problem);
     };
@@ -292,12 +292,12 @@
     headers: &HeaderMap,
     uri: &Uri,
     head: &CallerHeaders,
-) -> Result<Admission, Problem> {
+) -> Result<AuthorizedRequest, Problem> {
     let stated = headers.get(header::HOST).and_then(|it| it.to_str().ok());
     let Some(host) = stated.or_else(|| uri.host()) else {
         return Err(bad_request("no_host", "The request names no host."));
     };
-    table.admit(host, uri.path(), head.key.as_deref()).map_err(|denial| {
+    table.authorize(host, uri.path(), head.key.as_deref()).map_err(|denial| {
         let (status, detail) = match denial {
             Denial::NoRoute => (StatusCode::NOT_FOUND, "No route covers the host and the path."),
             Denial::UnknownKey => (StatusCode::UNAUTHORIZED, "No customer holds the key."),
--- a/crates/entry/src/relay/stages.rs
+++ b/crates/entry/src/relay/stages.rs
@@ -16,7 +16,8 @@
 use yuccatrail_core::{
     FastMap,
     batching::{
-        Batcher, CallOrder, CallResult, EngineView, GroupEnd, GroupKey, Settled, StageWork,
+        AvailableUpstream, Batcher, CallResult, GroupKey, GroupOutcome, PlannedCall, Settled,
+        StageWork,
     },
     route_table::StageService,
     stage_graph::ResultHandle,
@@ -45,7 +46,7 @@
 const PEER_SLACK_MS: u64 = 100;
 
 /// How the work of a stage ended, and handles of the results that it has produced.
-type StageOutcome = (GroupEnd, Vec<ResultHandle>);
+type StageOutcome = (GroupOutcome, Vec<ResultHandle>);
 
 /// Queue of one stage service, and the requests that wait for its groups of pieces.
 #[derive(Debug)]
@@ -105,7 +106,7 @@
         for _ in 0..MAX_OWNER_TRIES {
             let Owner::Remote(peer) = relay.peers.owner(relay, service) else { break };
             let now_ms = relay.now_ms();
-            let sent = work.without_clock(now_ms);
+            let sent = work.with_relative_times(now_ms);
             let context = context_for(sent.deadline_ms + PEER_SLACK_MS);
             let request = StageRequest { service: service.to_string(), work: sent };
             let reply = tokio::select! {
@@ -132,7 +133,7 @@
         request: StageRequest,
     ) -> StageOutcome {
         let service: Arc<str> = request.service.into();
-        let work = request.work.on_clock(relay.now_ms());
+        let work = request.work.with_absolute_times(relay.now_ms());
         self.run_locally(relay, &service, work).await
     }
 
@@ -161,14 +162,14 @@
         work: StageWork,
     ) -> StageOutcome {
         if !self.can_meet_deadline(relay, service, &work) {
-            return (GroupEnd::Late, Vec::new());
+            return (GroupOutcome::Late, Vec::new());
         }
         let (sender, receiver) = oneshot::channel();
         let group = {
             let mut queues = lock(&self.queues);
             let Some(queue) = queues.get_mut(service) else {
                 warn!(service:% = service; "stage refers to a service without stage limits");
-                return (GroupEnd::Failed, Vec::new());
+                return (GroupOutcome::Failed, Vec::new());
             };
             let group = queue.batcher.submit(work);
             queue.waiters.insert(group, sender);
@@ -176,14 +177,14 @@
         };
         let guard = GroupGuard { relay: relay.clone(), service: service.clone(), group };
         self.start_calls(relay, service);
-        let outcome = receiver.await.unwrap_or((GroupEnd::Failed, Vec::new()));
+        let outcome = receiver.await.unwrap_or((GroupOutcome::Failed, Vec::new()));
         drop(guard);
         outcome
     }
 
     /// Tells whether the work is expected to meet its deadline, given the queue.
     fn can_meet_deadline(&self, relay: &Relay, service: &str, work: &StageWork) -> bool {
-        let needed_ms = self.local_estimate_ms(relay, service, work.pieces, work.aim_ms);
+        let needed_ms = self.local_estimate_ms(relay, service, work.pieces, work.soft_deadline_ms);
         needed_ms.is_none_or(|it| relay.now_ms() as f64 + it <= work.deadline_ms as f64)
     }
 
@@ -224,7 +225,7 @@
 
     /// Returns the duration of a stage while all its upstreams are busy, in milliseconds.
     pub(crate) fn loaded_ms(&self, service: &str) -> f64 {
-        lock(&self.queues).get(service).map_or(0.0, |it| it.batcher.loaded_ms())
+        lock(&self.queues).get(service).map_or(0.0, |it| it.batcher.duration_under_load_ms())
     }
 
     /// Records that results no longer occupy memory at their upstreams.
@@ -250,7 +251,7 @@
             let settled = queue.batcher.expire(engines, now_ms);
             queue.deliver(relay, settled);
             let upstreams = relay.upstreams();
-            queue.batcher.keep_engines(|it| upstreams.get(it).is_some());
+            queue.batcher.retain_upstreams(|it| upstreams.get(it).is_some());
         }
         self.start_all_calls(relay);
     }
@@ -290,7 +291,7 @@
     }
 
     fn is_pressed_locally(&self, service: &str) -> bool {
-        lock(&self.queues).get(service).is_some_and(|it| it.batcher.is_pressed())
+        lock(&self.queues).get(service).is_some_and(|it| it.batcher.has_backlog())
     }
 
     /// Releases the inputs that a call has read and that are held by upstreams of services with a
@@ -310,7 +311,7 @@
             relay.upstreams().service_at(holder).is_some_and(|it| pressed.contains(it))
         };
         let handles = match lock(&self.queues).get_mut(&call.service) {
-            Some(queue) => queue.batcher.let_inputs_go(call.order.call, is_holder_pressed),
+            Some(queue) => queue.batcher.release_inputs(call.order.call, is_holder_pressed),
             None => return,
         };
         relay.releases.add(handles);
@@ -347,7 +348,7 @@
 /// A call to an upstream with a batch of pieces.
 struct StageCall {
     service: Arc<str>,
-    order: CallOrder,
+    order: PlannedCall,
     /// Encoded request; none if encoding failed.
     body: Option<Bytes>,
     /// Timeout of the call, in milliseconds.
@@ -357,7 +358,7 @@
 }
 
 impl StageCall {
-    fn new(batcher: &Batcher, service: &Arc<str>, order: CallOrder, now_ms: u64) -> Self {
+    fn new(batcher: &Batcher, service: &Arc<str>, order: PlannedCall, now_ms: u64) -> Self {
         let mut items = Vec::with_capacity(order.pieces.len());
         for (group, piece) in &order.pieces {
             let Some(work) = batcher.work(*group) else { continue };
@@ -415,7 +416,7 @@
     };
     info!(
         service:% = call.service,
-        upstream:? = call.order.engine,
+        upstream:? = call.order.upstream,
         pieces = call.order.pieces.len(),
         waiting = call.waiting,
         took_ms = relay.now_ms().saturating_sub(started_ms),
@@ -428,7 +429,7 @@
 
 async fn send_call(relay: &Arc<Relay>, call: &StageCall) -> CallResult {
     let Some(body) = call.body.clone() else { return CallResult::Failed };
-    let Some(mut attempt) = Attempt::begin(relay, call.order.engine) else {
+    let Some(mut attempt) = Attempt::begin(relay, call.order.upstream) else {
         return CallResult::Full;
     };
     let (status, meta, body) = match attempt.post(STAGE_PATH, body).await {
@@ -465,12 +466,13 @@
     );
 }
 
-fn usable_engines(relay: &Relay, service: &str, now_ms: u64) -> Vec<EngineView> {
+fn usable_engines(relay: &Relay, service: &str, now_ms: u64) -> Vec<AvailableUpstream> {
     let upstreams = relay.upstreams();
     let mut engines = Vec::new();
     for (key, upstream) in upstreams.of_service(service) {
         if upstreams.is_usable(key, now_ms) {
-            engines.push(EngineView { key, data_centre: upstream.record.data_centre.clone() });
+            engines
+                .push(AvailableUpstream { key, data_centre: upstream.record.data_centre.clone() });
         }
     }
     engines
--- a/crates/entry/src/relay/state.rs
+++ b/crates/entry/src/relay/state.rs
@@ -14,7 +14,7 @@
 use tokio_util::sync::CancellationToken;
 use yuccatrail_core::{
     FastMap,
-    freshness::{Belief, BeliefFreshness},
+    freshness::{PlatformData, PlatformDataFreshness},
     ownership::Candidate,
     retry_share::RetryShare,
     route_table::RouteTable,
@@ -52,7 +52,7 @@
     table: Mutex<Option<Arc<RouteTable>>>,
     upstreams: Mutex<Upstreams>,
     retries: Mutex<RetryShare>,
-    freshness: Mutex<BeliefFreshness>,
+    freshness: Mutex<PlatformDataFreshness>,
     /// Tells the feeds to read their lists again.
     relist_signal: watch::Sender<RelistSignal>,
     is_stopping: AtomicBool,
@@ -98,7 +98,7 @@
             table: Mutex::new(None),
             upstreams: Mutex::new(Upstreams::new(UpstreamsSettings::default(), &settings.name)),
             retries: Mutex::new(RetryShare::new(settings.bounds.retries)),
-            freshness: Mutex::new(BeliefFreshness::new(boottime_ms())),
+            freshness: Mutex::new(PlatformDataFreshness::new(boottime_ms())),
             relist_signal: watch::Sender::new(RelistSignal::default()),
             is_stopping: AtomicBool::new(false),
             refuse_unsent_token: CancellationToken::new(),
@@ -127,7 +127,7 @@
         info!(version = table.version(), source = source; "configuration in force");
         let mut cold_starts = FastMap::default();
         for service in table.services() {
-            let cold = (service.cold_start_ms, service.cold_per_s);
+            let cold = (service.cold_start_ms, service.cold_requests_per_s);
             cold_starts.insert(service.name.clone(), cold);
             if let Some(stage) = service.stage {
                 self.stages.configure(&service.name, stage);
@@ -164,7 +164,7 @@
     /// returns the current time on the boot-time clock, in milliseconds.
     pub(crate) fn detect_pause(&self) -> u64 {
         let now_ms = boottime_ms();
-        let pause_ms = lock(&self.freshness).note_sign(now_ms);
+        let pause_ms = lock(&self.freshness).tick(now_ms);
         if let Some(length_ms) = pause_ms {
             warn!(length_ms = length_ms; "this process did not run for a while, relisting");
             self.relist();
@@ -192,14 +192,14 @@
     }
 
     /// Records that a full list of this kind was read from the platform.
-    pub(crate) fn mark_fresh(&self, belief: Belief) {
-        lock(&self.freshness).renew(belief, boottime_ms());
+    pub(crate) fn mark_fresh(&self, belief: PlatformData) {
+        lock(&self.freshness).mark_refreshed(belief, boottime_ms());
     }
 
     /// Tells whether requests must wait because a pause left the lists possibly outdated.
     pub(crate) fn must_wait_for_lists(&self) -> bool {
         let now_ms = self.detect_pause();
-        lock(&self.freshness).has_to_wait(now_ms)
+        lock(&self.freshness).must_hold_requests(now_ms)
     }
 
     /// Waits until the lists are fresh after a pause of this process.
--- a/crates/entry/src/relay/stream.rs
+++ b/crates/entry/src/relay/stream.rs
@@ -16,7 +16,7 @@
 use log::{info, warn};
 use yuccatrail_adapter::{ResponseMeta, forwarded_headers};
 use yuccatrail_core::{
-    event_stream::{EventCutter, EventId},
+    event_stream::{EventFramer, EventId},
     stage_graph::ResultHandle,
     upstreams::{Affinity, UpstreamKey},
 };
@@ -66,7 +66,7 @@
     call: ModelCall,
     source: Option<Source>,
     first_bytes: Option<Bytes>,
-    cutter: EventCutter,
+    cutter: EventFramer,
     last_id: Option<EventId>,
     tried: Vec<UpstreamKey>,
     runs: u32,
@@ -105,7 +105,7 @@
         call,
         source: None,
         first_bytes: None,
-        cutter: EventCutter::new(),
+        cutter: EventFramer::new(),
         last_id,
         tried: Vec::new(),
         runs: 0,
@@ -302,7 +302,7 @@
         if !request.admission.route.is_resumable {
             return Err(self.abort("upstream_lost"));
         }
-        self.cutter = EventCutter::new();
+        self.cutter = EventFramer::new();
         if Mechanism::ResumePosition.is_off() {
             self.last_id = None;
         }
