--- a/crates/entry/src/relay/crashes.rs
+++ b/crates/entry/src/relay/crashes.rs
@@ -108,7 +108,7 @@
 
 fn request_hash(request: &CallerRequest) -> RequestHash {
     let mut hasher = FxHasher::default();
-    request.admission.customer.hash(&mut hasher);
+    request.authorized.customer.hash(&mut hasher);
     request.target().hash(&mut hasher);
     request.body().hash(&mut hasher);
     RequestHash(hasher.finish())
@@ -116,6 +116,6 @@
 
 fn request_digest(request: &CallerRequest) -> Digest {
     // Anonymous requests belong to no customer.
-    let customer = request.admission.customer.as_deref().unwrap_or_default();
+    let customer = request.authorized.customer.as_deref().unwrap_or_default();
     fingerprint(customer, request.method().as_str(), request.target(), request.body())
 }
--- a/crates/entry/src/relay/model.rs
+++ b/crates/entry/src/relay/model.rs
@@ -41,7 +41,7 @@
     request: &Arc<CallerRequest>,
     in_progress: InProgressGuard,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let route = &request.admission.route;
+    let route = &request.authorized.route;
     let mut graph = StageGraph::new(&route.stages, &request.head.pieces);
     let mut held = HeldResults::new(relay.clone());
     let data_centre = predicted_data_centre(relay, request);
@@ -86,14 +86,14 @@
 /// there.
 fn predicted_data_centre(relay: &Relay, request: &CallerRequest) -> Option<Arc<str>> {
     let affinity = affinity(request);
-    let wanted = wanted(relay, request, affinity.as_ref(), &[]);
+    let criteria = selection_criteria(relay, request, affinity.as_ref(), &[]);
     let upstreams = relay.upstreams();
-    let key = upstreams.choose(&wanted, relay.now_ms())?;
+    let key = upstreams.choose(&criteria, relay.now_ms())?;
     upstreams.get(key).map(|it| it.record.data_centre.clone())
 }
 
 /// Returns the criteria for choosing a model upstream.
-pub(crate) fn wanted<'a>(
+pub(crate) fn selection_criteria<'a>(
     relay: &'a Relay,
     request: &'a CallerRequest,
     affinity: Option<&'a Affinity>,
@@ -120,12 +120,12 @@
     request: &CallerRequest,
     graph: &StageGraph,
 ) -> Result<(), Refusal> {
-    let stages = &request.admission.route.stages;
+    let stages = &request.authorized.route.stages;
     let now_ms = relay.now_ms();
-    let aim_ms = request.aim_ms();
+    let soft_deadline_ms = request.soft_deadline_ms();
     let needed_ms = graph.remaining_ms(|stage| {
         let (service, pieces) = (&stages[stage].service, graph.pieces(stage));
-        relay.stages.estimate_ms(relay, service, pieces, aim_ms).unwrap_or(0.0)
+        relay.stages.estimate_ms(relay, service, pieces, soft_deadline_ms).unwrap_or(0.0)
     });
     let needed_ms = needed_ms + MODEL_OVERHEAD_MS;
     let remaining_ms = request.remaining_ms(now_ms) as f64;
@@ -156,7 +156,7 @@
         for ready in graph.start_ready() {
             let work = stage_work(relay, request, graph, &ready, data_centre);
             let delay = start_delay(relay, request, graph, &ready);
-            let service = request.admission.route.stages[ready.stage].service.clone();
+            let service = request.authorized.route.stages[ready.stage].service.clone();
             let inputs = ready.inputs.unwrap_or_default();
             running.push(async move {
                 tokio::time::sleep(delay).await;
@@ -195,14 +195,14 @@
     graph: &StageGraph,
     ready: &ReadyStage,
 ) -> Duration {
-    let stages = &request.admission.route.stages;
+    let stages = &request.authorized.route.stages;
     if stages[ready.stage].result_bytes < LARGE_RESULT_BYTES {
         return Duration::ZERO;
     }
-    let aim_ms = request.aim_ms();
+    let soft_deadline_ms = request.soft_deadline_ms();
     let time_ms = |it: usize| {
         let (service, pieces) = (&stages[it].service, graph.pieces(it));
-        relay.stages.estimate_ms(relay, service, pieces, aim_ms).unwrap_or(0.0)
+        relay.stages.estimate_ms(relay, service, pieces, soft_deadline_ms).unwrap_or(0.0)
     };
     let slack_ms = graph.slack_ms(ready.stage, &time_ms) * SLACK_FRACTION;
     Duration::from_millis(slack_ms as u64)
@@ -228,7 +228,7 @@
     ready: &ReadyStage,
     data_centre: Option<&Arc<str>>,
 ) -> StageWork {
-    let stages = &request.admission.route.stages;
+    let stages = &request.authorized.route.stages;
     let nominal_ms = |it: usize| relay.stages.duration_ms(&stages[it].service, graph.pieces(it));
     let loaded_ms = |it: usize| relay.stages.loaded_ms(&stages[it].service);
     let model_ms = model_ms(request);
@@ -248,8 +248,8 @@
         source,
         is_only_reader: !graph.has_other_reader(ready.stage),
         result_bytes: stages[ready.stage].result_bytes,
-        priority: request.admission.priority,
-        soft_deadline_ms: request.aim_ms().saturating_sub(loaded_following_ms),
+        priority: request.authorized.priority,
+        soft_deadline_ms: request.soft_deadline_ms().saturating_sub(loaded_following_ms),
         deadline_ms: request.deadline_ms.saturating_sub(min_following_ms),
         preferred_data_centre: PreferredDataCentre::choose(bytes_by_data_centre(
             relay,
@@ -270,7 +270,7 @@
     ready: &ReadyStage,
     reader: Option<&Arc<str>>,
 ) -> Vec<(Arc<str>, u64)> {
-    let stages = &request.admission.route.stages;
+    let stages = &request.authorized.route.stages;
     let stage = &stages[ready.stage];
     let mut shares: Vec<(Arc<str>, u64)> = Vec::new();
     shares.extend(reader.map(|it| (it.clone(), stage.result_bytes)));
--- a/crates/entry/src/relay/peers.rs
+++ b/crates/entry/src/relay/peers.rs
@@ -105,7 +105,7 @@
     }
 
     /// Tells whether a service has a backlog at its owner; none if this entry is the owner.
-    pub(crate) fn is_pressed(&self, relay: &Relay, service: &str) -> Option<bool> {
+    pub(crate) fn has_backlog_at_owner(&self, relay: &Relay, service: &str) -> Option<bool> {
         Some(self.queue_at_owner(relay, service)?.is_some_and(|it| it.is_pressed))
     }
 
@@ -193,8 +193,8 @@
         entry.peer = Some(peer.clone());
         entry.queues = reply.queues.into_iter().map(|it| (it.service.clone(), it)).collect();
         let (takes_work, follows_platform) = (reply.takes_work, reply.list_revisions.is_some());
-        let heard = PeerState::Alive { takes_work, follows_platform };
-        if directory.hear(name, heard) {
+        let state = PeerState::Alive { takes_work, follows_platform };
+        if directory.set_state(name, state) {
             info!(entry = name, takes_work, follows_platform; "entry heard");
         }
     }
@@ -210,7 +210,7 @@
             peer.lost.cancel();
         }
         entry.queues.clear();
-        directory.hear(name, PeerState::Lost);
+        directory.set_state(name, PeerState::Lost);
     }
 
     /// Returns the names of all other entries.
@@ -227,8 +227,8 @@
 
 impl Directory {
     /// Records the observed state of an entry; returns whether it has changed.
-    fn hear(&mut self, name: &str, heard: PeerState) -> bool {
-        let is_new = self.view.set_state(name, heard);
+    fn set_state(&mut self, name: &str, state: PeerState) -> bool {
+        let is_new = self.view.set_state(name, state);
         if is_new {
             self.polled_for = None;
         }
--- a/crates/entry/src/relay/peers/hello.rs
+++ b/crates/entry/src/relay/peers/hello.rs
@@ -170,8 +170,8 @@
     if relay.follows_platform() || !revisions.is_some_and(is_newer) {
         return;
     }
-    let beliefs = match peer.client.beliefs(context_for(HELLO_TIMEOUT_MS)).await {
-        Ok(Some(beliefs)) => beliefs,
+    let lists = match peer.client.beliefs(context_for(HELLO_TIMEOUT_MS)).await {
+        Ok(Some(lists)) => lists,
         Ok(None) => return,
         Err(error) => {
             warn!(entry:% = peer.name, error:% = error; "failed to fetch newer lists");
@@ -186,12 +186,12 @@
     let mut upstreams = relay.upstreams();
     info!(
         entry:% = peer.name,
-        upstreams = beliefs.upstreams.len(),
-        revision = beliefs.revisions.upstreams,
+        upstreams = lists.upstreams.len(),
+        revision = lists.revisions.upstreams,
         known_revision = upstreams.revisions().upstreams;
         "fetched lists from another entry"
     );
-    let changed = upstreams.adopt_newer(beliefs, now_ms);
+    let changed = upstreams.adopt_newer(lists, now_ms);
     drop(upstreams);
     log_evacuations(&changed);
     relay.stages.start_all_calls(relay);
--- a/crates/entry/src/relay/plain.rs
+++ b/crates/entry/src/relay/plain.rs
@@ -45,7 +45,7 @@
     relay: &Arc<Relay>,
     request: &Arc<CallerRequest>,
 ) -> Result<Response<ResponseBody>, Refusal> {
-    let route = &request.admission.route;
+    let route = &request.authorized.route;
     let is_sent_once = !Mechanism::SendOnce.is_off();
     let max_runs = if is_sent_once { route.max_runs() } else { route.max_attempts };
     let mut tried: Vec<UpstreamKey> = Vec::new();
@@ -123,14 +123,14 @@
     request: &CallerRequest,
     tried: &[UpstreamKey],
 ) -> Option<Attempt> {
-    let wanted = SelectionCriteria {
+    let criteria = SelectionCriteria {
         service: &request.service,
         data_centre: Some(&relay.settings.data_centre),
         excluded: tried,
         ..SelectionCriteria::default()
     };
     let now_ms = relay.now_ms();
-    let key = relay.upstreams().choose(&wanted, now_ms)?;
+    let key = relay.upstreams().choose(&criteria, now_ms)?;
     Attempt::begin(relay, key)
 }
 
@@ -152,7 +152,7 @@
     if !may_repeat {
         return remaining_ms;
     }
-    let scaled_ms = request.admission.route.target_latency_ms as f64 * TRY_TIMEOUT_FACTOR;
+    let scaled_ms = request.authorized.route.target_latency_ms as f64 * TRY_TIMEOUT_FACTOR;
     (scaled_ms as u64).max(MIN_TRY_TIMEOUT_MS).min(remaining_ms)
 }
 
@@ -179,7 +179,7 @@
     let took_ms = relay.now_ms().saturating_sub(request.arrived_ms);
     info!(
         id:% = request.id,
-        route:% = request.admission.route.name,
+        route:% = request.authorized.route.name,
         upstream:% = attempt.record.id,
         status = parts.status.as_u16(),
         took_ms = took_ms;
--- a/crates/entry/src/relay/request.rs
+++ b/crates/entry/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! Receives a caller's request, admits it and serves it by the kind of its route.
+//! Receives a caller's request, authorizes it and serves it by the kind of its route.
 
 use std::{
     sync::{
@@ -48,14 +48,14 @@
 #[display("response aborted")]
 pub(crate) struct ResponseAborted;
 
-/// An admitted request.
+/// An authorized request of a caller, with its whole body.
 pub(crate) struct CallerRequest {
     /// Identifier from the caller; empty if it sent none.
     pub(crate) id: String,
     /// Decoded headers.
     pub(crate) head: CallerHeaders,
     /// Matched route and customer.
-    pub(crate) admission: AuthorizedRequest,
+    pub(crate) authorized: AuthorizedRequest,
     /// Service that the route's traffic split selected.
     pub(crate) service: Arc<str>,
     /// Arrival time, in milliseconds since the start of the relay.
@@ -103,8 +103,8 @@
 
     /// Returns the time by which a response meets the route's target latency, in milliseconds since the
     /// start of the relay.
-    pub(crate) fn aim_ms(&self) -> u64 {
-        self.arrived_ms + self.admission.route.target_latency_ms
+    pub(crate) fn soft_deadline_ms(&self) -> u64 {
+        self.arrived_ms + self.authorized.route.target_latency_ms
     }
 
     /// Returns the HTTP method.
@@ -152,7 +152,7 @@
         let call = AddedHeaders {
             upstream_id: &upstream.id,
             remaining_ms: self.remaining_ms(now_ms),
-            customer: self.admission.customer.as_deref(),
+            customer: self.authorized.customer.as_deref(),
             inputs,
             last_event_id,
         };
@@ -178,7 +178,7 @@
         let took_ms = relay.now_ms().saturating_sub(self.arrived_ms);
         info!(
             id:% = self.id,
-            route:% = self.admission.route.name,
+            route:% = self.authorized.route.name,
             reason = refusal.reason,
             status = status.as_u16(),
             outcome:% = outcome,
@@ -187,7 +187,7 @@
             "request refused"
         );
         let labels = RequestLabels {
-            route: self.admission.route.name.clone(),
+            route: self.authorized.route.name.clone(),
             status: status.as_u16(),
             reason: refusal.reason.to_owned(),
         };
@@ -225,17 +225,17 @@
         };
         return reject(&relay, &id, &problem);
     };
-    let admission = match admit(&table, &parts.headers, &parts.uri, &head) {
-        Ok(admission) => admission,
+    let authorized = match authorize(&table, &parts.headers, &parts.uri, &head) {
+        Ok(authorized) => authorized,
         Err(problem) => return reject(&relay, &id, &problem),
     };
-    let timeout_ms = admission.route.timeout_ms;
+    let timeout_ms = authorized.route.timeout_ms;
     let wait_ms = head.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(timeout_ms);
     let body = match read_body(body, &table, wait_ms).await {
         Ok(body) => body,
         Err(problem) => return reject(&relay, &id, &problem),
     };
-    let Some(service) = admission.route.select_service(rand::random()).cloned() else {
+    let Some(service) = authorized.route.select_service(rand::random()).cloned() else {
         let problem = bad_request("no_service", "The route names no service.");
         return reject(&relay, &id, &problem);
     };
@@ -243,7 +243,7 @@
     let request = Arc::new(CallerRequest {
         id,
         head,
-        admission,
+        authorized,
         service,
         arrived_ms,
         deadline_ms: arrived_ms + wait_ms,
@@ -266,7 +266,7 @@
 ) -> Response<ResponseBody> {
     let limit = Duration::from_millis(request.remaining_ms(relay.now_ms()));
     let served = async {
-        match request.admission.route.kind {
+        match request.authorized.route.kind {
             RouteKind::Stream => model::serve(relay, request, in_progress).await,
             RouteKind::Idempotent | RouteKind::AtMostOnce => plain::serve(relay, request).await,
         }
@@ -275,7 +275,7 @@
         Ok(Ok(response)) => {
             let took_ms = relay.now_ms().saturating_sub(request.arrived_ms);
             let labels = RequestLabels {
-                route: request.admission.route.name.clone(),
+                route: request.authorized.route.name.clone(),
                 status: response.status().as_u16(),
                 reason: String::new(),
             };
@@ -287,7 +287,7 @@
     }
 }
 
-fn admit(
+fn authorize(
     table: &RouteTable,
     headers: &HeaderMap,
     uri: &Uri,
@@ -327,7 +327,7 @@
     Problem::bad_request(StatusCode::BAD_REQUEST, reason, detail)
 }
 
-/// Builds, logs and counts the response to a request that was not admitted.
+/// Builds, logs and counts the response to a request that is rejected before it is served.
 fn reject(relay: &Relay, id: &str, problem: &Problem) -> Response<ResponseBody> {
     info!(
         id = id,
--- a/crates/entry/src/relay/stages.rs
+++ b/crates/entry/src/relay/stages.rs
@@ -149,7 +149,7 @@
             states.push(QueueState {
                 service: service.to_string(),
                 wait_ms: wait_ms as u64,
-                is_pressed: self.is_pressed_locally(&service),
+                is_pressed: self.has_local_backlog(&service),
             });
         }
         states
@@ -195,13 +195,13 @@
         relay: &Relay,
         service: &str,
         pieces: usize,
-        aim_ms: u64,
+        soft_deadline_ms: u64,
     ) -> Option<f64> {
         if let Some(wait_ms) = relay.peers.wait_ms(relay, service) {
             let extra_ms = self.duration_ms(service, pieces) - self.duration_ms(service, 1);
             return Some(wait_ms as f64 + extra_ms.max(0.0));
         }
-        self.local_estimate_ms(relay, service, pieces, aim_ms)
+        self.local_estimate_ms(relay, service, pieces, soft_deadline_ms)
     }
 
     fn local_estimate_ms(
@@ -209,13 +209,13 @@
         relay: &Relay,
         service: &str,
         pieces: usize,
-        aim_ms: u64,
+        soft_deadline_ms: u64,
     ) -> Option<f64> {
         let now_ms = relay.now_ms();
-        let engines = usable_engines(relay, service, now_ms).len();
+        let available = available_upstreams(relay, service, now_ms).len();
         let queues = lock(&self.queues);
         let batcher = &queues.get(service)?.batcher;
-        Some(batcher.estimate_ms(pieces, aim_ms, engines, now_ms))
+        Some(batcher.estimate_ms(pieces, soft_deadline_ms, available, now_ms))
     }
 
     /// Returns the configured duration of a call with this many pieces, in milliseconds.
@@ -244,11 +244,11 @@
         let now_ms = relay.now_ms();
         for (service, queue) in lock(&self.queues).iter_mut() {
             queue.batcher.requeue_overdue(now_ms);
-            let engines = match queue.batcher.waiting() {
+            let available = match queue.batcher.waiting() {
                 0 => 0,
-                _ => usable_engines(relay, service, now_ms).len(),
+                _ => available_upstreams(relay, service, now_ms).len(),
             };
-            let settled = queue.batcher.expire(engines, now_ms);
+            let settled = queue.batcher.expire(available, now_ms);
             queue.deliver(relay, settled);
             let upstreams = relay.upstreams();
             queue.batcher.retain_upstreams(|it| upstreams.get(it).is_some());
@@ -274,11 +274,11 @@
             return;
         }
         let now_ms = relay.now_ms();
-        let engines = usable_engines(relay, service, now_ms);
+        let available = available_upstreams(relay, service, now_ms);
         let mut queues = lock(&self.queues);
         let Some(queue) = queues.get_mut(service) else { return };
-        while let Some(order) = queue.batcher.next_call(&engines, now_ms) {
-            let call = StageCall::new(&queue.batcher, service, order, now_ms);
+        while let Some(planned) = queue.batcher.next_call(&available, now_ms) {
+            let call = StageCall::new(&queue.batcher, service, planned, now_ms);
             tokio::spawn(make_call(relay.clone(), call));
         }
     }
@@ -290,7 +290,7 @@
         queue.batcher.cancel(group)
     }
 
-    fn is_pressed_locally(&self, service: &str) -> bool {
+    fn has_local_backlog(&self, service: &str) -> bool {
         lock(&self.queues).get(service).is_some_and(|it| it.batcher.has_backlog())
     }
 
@@ -298,20 +298,20 @@
     /// backlog.
     fn release_read_inputs(&self, relay: &Relay, call: &StageCall) {
         let services = self.services();
-        let is_pressed = |service: &Arc<str>| {
-            let at_owner = relay.peers.is_pressed(relay, service);
-            at_owner.unwrap_or_else(|| self.is_pressed_locally(service))
+        let has_backlog = |service: &Arc<str>| {
+            let at_owner = relay.peers.has_backlog_at_owner(relay, service);
+            at_owner.unwrap_or_else(|| self.has_local_backlog(service))
         };
-        let pressed: Vec<Arc<str>> = services.into_iter().filter(is_pressed).collect();
-        if pressed.is_empty() {
+        let backlogged: Vec<Arc<str>> = services.into_iter().filter(has_backlog).collect();
+        if backlogged.is_empty() {
             return;
         }
-        let is_holder_pressed = |handle: &ResultHandle| {
+        let is_holder_backlogged = |handle: &ResultHandle| {
             let Some(holder) = result_holder(handle) else { return false };
-            relay.upstreams().service_at(holder).is_some_and(|it| pressed.contains(it))
+            relay.upstreams().service_at(holder).is_some_and(|it| backlogged.contains(it))
         };
         let handles = match lock(&self.queues).get_mut(&call.service) {
-            Some(queue) => queue.batcher.release_inputs(call.order.call, is_holder_pressed),
+            Some(queue) => queue.batcher.release_inputs(call.planned.call, is_holder_backlogged),
             None => return,
         };
         relay.releases.add(handles);
@@ -322,7 +322,7 @@
         {
             let mut queues = lock(&self.queues);
             let Some(queue) = queues.get_mut(&call.service) else { return };
-            let settled = queue.batcher.finish(call.order.call, result, now_ms);
+            let settled = queue.batcher.finish(call.planned.call, result, now_ms);
             queue.deliver(relay, settled);
         }
         self.start_calls(relay, &call.service);
@@ -348,7 +348,7 @@
 /// A call to an upstream with a batch of pieces.
 struct StageCall {
     service: Arc<str>,
-    order: PlannedCall,
+    planned: PlannedCall,
     /// Encoded request; none if encoding failed.
     body: Option<Bytes>,
     /// Timeout of the call, in milliseconds.
@@ -358,9 +358,9 @@
 }
 
 impl StageCall {
-    fn new(batcher: &Batcher, service: &Arc<str>, order: PlannedCall, now_ms: u64) -> Self {
-        let mut items = Vec::with_capacity(order.pieces.len());
-        for (group, piece) in &order.pieces {
+    fn new(batcher: &Batcher, service: &Arc<str>, planned: PlannedCall, now_ms: u64) -> Self {
+        let mut items = Vec::with_capacity(planned.pieces.len());
+        for (group, piece) in &planned.pieces {
             let Some(work) = batcher.work(*group) else { continue };
             items.push(StageCallItem {
                 request_id: &work.request_id,
@@ -374,11 +374,11 @@
         if let Err(error) = &body {
             warn!(service:% = service, error:% = error; "failed to encode stage call");
         }
-        let expected_ms = order.expected_end_ms.saturating_sub(now_ms);
+        let expected_ms = planned.expected_end_ms.saturating_sub(now_ms);
         let limit_ms = (expected_ms * CALL_TIMEOUT_FACTOR).max(MIN_CALL_TIMEOUT_MS);
         Self {
             service: service.clone(),
-            order,
+            planned,
             body: body.ok(),
             limit_ms,
             waiting: batcher.waiting(),
@@ -390,7 +390,7 @@
 async fn make_call(relay: Arc<Relay>, call: StageCall) {
     let labels = ServiceLabels { service: call.service.to_string() };
     relay.metrics.stage_calls.get_or_create(&labels).inc();
-    relay.metrics.stage_pieces.get_or_create(&labels).inc_by(call.order.pieces.len() as u64);
+    relay.metrics.stage_pieces.get_or_create(&labels).inc_by(call.planned.pieces.len() as u64);
     let started_ms = relay.now_ms();
     let limit = Duration::from_millis(call.limit_ms);
     let sending = async {
@@ -416,11 +416,11 @@
     };
     info!(
         service:% = call.service,
-        upstream:? = call.order.upstream,
-        pieces = call.order.pieces.len(),
+        upstream:? = call.planned.upstream,
+        pieces = call.planned.pieces.len(),
         waiting = call.waiting,
         took_ms = relay.now_ms().saturating_sub(started_ms),
-        expected_ms = call.order.expected_end_ms.saturating_sub(started_ms),
+        expected_ms = call.planned.expected_end_ms.saturating_sub(started_ms),
         outcome = outcome;
         "stage call"
     );
@@ -429,7 +429,7 @@
 
 async fn send_call(relay: &Arc<Relay>, call: &StageCall) -> CallResult {
     let Some(body) = call.body.clone() else { return CallResult::Failed };
-    let Some(mut attempt) = Attempt::begin(relay, call.order.upstream) else {
+    let Some(mut attempt) = Attempt::begin(relay, call.planned.upstream) else {
         return CallResult::Full;
     };
     let (status, meta, body) = match attempt.post(STAGE_PATH, body).await {
@@ -444,7 +444,7 @@
         attempt.finish(&meta);
         return CallResult::Full;
     }
-    let detail = match decode_stage_results(&body, call.order.pieces.len()) {
+    let detail = match decode_stage_results(&body, call.planned.pieces.len()) {
         Ok(results) if status.is_success() => {
             attempt.finish(&meta);
             return CallResult::Answered(results);
@@ -466,14 +466,14 @@
     );
 }
 
-fn usable_engines(relay: &Relay, service: &str, now_ms: u64) -> Vec<AvailableUpstream> {
+fn available_upstreams(relay: &Relay, service: &str, now_ms: u64) -> Vec<AvailableUpstream> {
     let upstreams = relay.upstreams();
-    let mut engines = Vec::new();
+    let mut available = Vec::new();
     for (key, upstream) in upstreams.of_service(service) {
         if upstreams.is_usable(key, now_ms) {
-            engines
+            available
                 .push(AvailableUpstream { key, data_centre: upstream.record.data_centre.clone() });
         }
     }
-    engines
+    available
 }
--- a/crates/entry/src/relay/state.rs
+++ b/crates/entry/src/relay/state.rs
@@ -192,8 +192,8 @@
     }
 
     /// Records that a full list of this kind was read from the platform.
-    pub(crate) fn mark_fresh(&self, belief: PlatformData) {
-        lock(&self.freshness).mark_refreshed(belief, boottime_ms());
+    pub(crate) fn mark_fresh(&self, data: PlatformData) {
+        lock(&self.freshness).mark_refreshed(data, boottime_ms());
     }
 
     /// Tells whether requests must wait because a pause left the lists possibly outdated.
--- a/crates/entry/src/relay/stream.rs
+++ b/crates/entry/src/relay/stream.rs
@@ -24,7 +24,7 @@
 use crate::relay::{
     attempt::{Attempt, AttemptError, check_seal},
     crashes::check_for_crash,
-    model::wanted,
+    model::selection_criteria,
     plain::take_retry,
     release::HeldResults,
     request::{CallerRequest, Refusal, ResponseAborted, ResponseBody},
@@ -66,7 +66,7 @@
     call: ModelCall,
     source: Option<Source>,
     first_bytes: Option<Bytes>,
-    cutter: EventFramer,
+    framer: EventFramer,
     last_id: Option<EventId>,
     tried: Vec<UpstreamKey>,
     runs: u32,
@@ -105,7 +105,7 @@
         call,
         source: None,
         first_bytes: None,
-        cutter: EventFramer::new(),
+        framer: EventFramer::new(),
         last_id,
         tried: Vec::new(),
         runs: 0,
@@ -143,7 +143,7 @@
     /// Sends the request to one upstream after another until one begins to respond.
     async fn connect(&mut self) -> Result<(StatusCode, HeaderMap), OpenError> {
         let (relay, request) = (self.call.relay.clone(), self.call.request.clone());
-        let max_runs = request.admission.route.max_runs();
+        let max_runs = request.authorized.route.max_runs();
         let mut reached = self.runs;
         while self.tried.len() < MAX_TRIES && self.runs < max_runs {
             relay.wait_until_fresh().await;
@@ -180,9 +180,10 @@
 
     fn begin_next_attempt(&self) -> Option<Attempt> {
         let (relay, request) = (&self.call.relay, &self.call.request);
-        let wanted = wanted(relay, request, self.call.affinity.as_ref(), &self.tried);
+        let selection_criteria =
+            selection_criteria(relay, request, self.call.affinity.as_ref(), &self.tried);
         let now_ms = relay.now_ms();
-        let key = relay.upstreams().choose(&wanted, now_ms)?;
+        let key = relay.upstreams().choose(&criteria, now_ms)?;
         let attempt = Attempt::begin(relay, key)?;
         info!(
             id:% = request.id,
@@ -215,7 +216,7 @@
             return Ok(outcome);
         }
         check_seal(parts.status, &meta)?;
-        if parts.status.is_server_error() && self.call.request.admission.route.is_repeatable() {
+        if parts.status.is_server_error() && self.call.request.authorized.route.is_repeatable() {
             warn!(id:% = request.id, status = parts.status.as_u16(); "upstream failed");
             attempt.fail();
             return Ok(OpenOutcome::Lost);
@@ -253,7 +254,7 @@
                         return Some(Ok(bytes));
                     }
                 }
-                Ok(None) if self.cutter.is_empty() => {
+                Ok(None) if self.framer.is_empty() => {
                     self.finish();
                     return None;
                 }
@@ -274,8 +275,8 @@
 
     /// Processes received bytes and returns those to forward; for resumable streams only whole events.
     fn accept_bytes(&mut self, bytes: &Bytes) -> Option<Bytes> {
-        let passed = if self.call.request.admission.route.is_resumable {
-            let events = self.cutter.push(bytes)?;
+        let passed = if self.call.request.authorized.route.is_resumable {
+            let events = self.framer.push(bytes)?;
             self.last_id = events.last_id.or(self.last_id);
             events.bytes
         } else {
@@ -299,10 +300,10 @@
             check_for_crash(&self.call.relay, &request, &source.attempt.record);
             source.attempt.fail();
         }
-        if !request.admission.route.is_resumable {
+        if !request.authorized.route.is_resumable {
             return Err(self.abort("upstream_lost"));
         }
-        self.cutter = EventFramer::new();
+        self.framer = EventFramer::new();
         if Mechanism::ResumePosition.is_off() {
             self.last_id = None;
         }
@@ -335,7 +336,7 @@
         let request = &self.call.request;
         info!(
             id:% = request.id,
-            route:% = request.admission.route.name,
+            route:% = request.authorized.route.name,
             end = end,
             bytes = self.events_bytes,
             runs = self.runs,
