--- a/crates/entry/src/relay/stream.rs
+++ b/crates/entry/src/relay/stream.rs
@@ -180,8 +180,7 @@
 
     fn begin_next_attempt(&self) -> Option<Attempt> {
         let (relay, request) = (&self.call.relay, &self.call.request);
-        let selection_criteria =
-            selection_criteria(relay, request, self.call.affinity.as_ref(), &self.tried);
+        let criteria = selection_criteria(relay, request, self.call.affinity.as_ref(), &self.tried);
         let now_ms = relay.now_ms();
         let key = relay.upstreams().choose(&criteria, now_ms)?;
         let attempt = Attempt::begin(relay, key)?;
