--- a/crates/entry/src/relay/feed.rs
+++ b/crates/entry/src/relay/feed.rs
@@ -1,4 +1,4 @@
-//! Keeps the relay's beliefs up to date from the platform's store.
+//! Keeps the configuration and the lists up to date from the platform's object store.
 
 use std::sync::Arc;
 
@@ -13,17 +13,17 @@
 };
 use yuccatrail_platform::{Client, PollForm, PollUpdate, Poller, PollerSettings};
 
-use crate::relay::state::{ListTrust, Relay};
+use crate::relay::state::{Relay, RelistSignal};
 
-/// Updates of one kind, which is listed again whenever the relay distrusts its lists.
+/// Updates of one kind of object, which is listed again on each relist signal.
 pub(crate) struct Feed<T> {
     poller: Poller,
     updates: mpsc::Receiver<PollUpdate<T>>,
-    list_trust: watch::Receiver<ListTrust>,
+    relist_signal: watch::Receiver<RelistSignal>,
 }
 
 impl<T: Send + 'static> Feed<T> {
-    /// Starts to follow a kind until `stop` is cancelled.
+    /// Starts to follow a kind of object until `stop` is cancelled.
     pub(crate) fn start(
         relay: &Relay,
         client: Client,
@@ -31,7 +31,7 @@
         stop: &CancellationToken,
     ) -> Self {
         let (poller, updates) = Poller::start(client, form, PollerSettings::default(), stop);
-        Self { poller, updates, list_trust: relay.list_trust() }
+        Self { poller, updates, relist_signal: relay.relist_signal() }
     }
 
     /// Returns the next update; none when the feed has stopped.
@@ -39,10 +39,10 @@
         loop {
             tokio::select! {
                 biased;
-                changed = self.list_trust.changed() => {
+                changed = self.relist_signal.changed() => {
                     changed.ok()?;
-                    let is_silent = self.list_trust.borrow_and_update().is_platform_silent;
-                    self.poller.set_patient(is_silent);
+                    let is_unresponsive = self.relist_signal.borrow_and_update().is_platform_unresponsive;
+                    self.poller.set_patient(is_unresponsive);
                     self.poller.refresh();
                 }
                 update = self.updates.recv() => return update,
@@ -56,7 +56,7 @@
     }
 }
 
-/// Follows the configuration.
+/// Follows the configuration and activates newer versions.
 pub(crate) async fn follow_configuration(
     relay: Arc<Relay>,
     client: Client,
@@ -66,22 +66,22 @@
     while let Some(update) = feed.next().await {
         let is_whole = matches!(update, PollUpdate::Snapshot { .. });
         for change in changes_of(update) {
-            adopt(&relay, change);
+            apply_configuration(&relay, change);
         }
         if is_whole {
-            relay.renew(PlatformData::Configuration);
+            relay.mark_fresh(PlatformData::Configuration);
         }
     }
     feed.close().await;
 }
 
-fn adopt(relay: &Relay, change: StoreChange<Configuration>) {
+fn apply_configuration(relay: &Relay, change: StoreChange<Configuration>) {
     match change {
         StoreChange::Present { content, .. } => {
-            relay.adopt(RouteTable::new(content), "platform");
+            relay.activate_configuration(RouteTable::new(content), "platform");
         }
         StoreChange::Absent { name } => {
-            warn!(object:% = name; "configuration was removed; the last one stays in force");
+            warn!(object:% = name; "configuration removed; the last one stays active");
         }
         StoreChange::Unreadable { name, detail } => {
             warn!(object:% = name, detail:% = detail; "configuration can't be read");
@@ -89,25 +89,26 @@
     }
 }
 
-/// Follows the data centres that receive no work.
+/// Follows the list of evacuated data centres, which receive no requests.
 pub(crate) async fn follow_evacuations(relay: Arc<Relay>, client: Client, stop: CancellationToken) {
     let mut feed = Feed::start(&relay, client, evacuations_form(), &stop);
     while let Some(update) = feed.next().await {
         let now_ms = relay.now_ms();
         match update {
             PollUpdate::Snapshot { items, revision } => {
-                let listed = items.iter().filter(|it| is_out(it)).map(|it| name_of(it).to_owned());
+                let listed =
+                    items.iter().filter(|it| is_out(it)).map(|it| object_name(it).to_owned());
                 let mut upstreams = relay.upstreams();
                 let changed = upstreams.replace_evacuated(listed.collect(), now_ms);
                 upstreams.set_evacuations_revision(revision);
                 drop(upstreams);
                 log_evacuations(&changed);
-                relay.renew(PlatformData::Evacuations);
+                relay.mark_fresh(PlatformData::Evacuations);
             }
             PollUpdate::Changes(changes) => {
                 let mut upstreams = relay.upstreams();
                 for change in &changes.items {
-                    let (name, is_out) = (name_of(change), is_out(change));
+                    let (name, is_out) = (object_name(change), is_out(change));
                     if upstreams.set_evacuated(name, is_out, now_ms) {
                         log_evacuations(&[(name.to_owned(), is_out)]);
                     }
@@ -120,19 +121,19 @@
     feed.close().await;
 }
 
-/// Logs the data centres that changed, each with whether it receives no work now.
+/// Logs data centres whose state changed, each with whether it is evacuated now.
 pub(crate) fn log_evacuations(changed: &[(String, bool)]) {
     for (data_centre, is_out) in changed {
-        info!(data_centre = data_centre, is_out = *is_out; "data centre taken out or back");
+        info!(data_centre = data_centre, is_out = *is_out; "evacuation of data centre changed");
     }
 }
 
-/// Tells whether an entry of the list takes a data centre out; what can't be read counts as one.
+/// Tells whether an object of the list evacuates a data centre; an unreadable one does too.
 fn is_out(change: &StoreChange<()>) -> bool {
     !matches!(change, StoreChange::Absent { .. })
 }
 
-/// Follows the upstreams.
+/// Follows the list of upstreams.
 pub(crate) async fn follow_upstreams(relay: Arc<Relay>, client: Client, stop: CancellationToken) {
     let mut feed = Feed::start(&relay, client, servers_form(), &stop);
     while let Some(update) = feed.next().await {
@@ -145,7 +146,7 @@
                 upstreams.update(ListUpdate::Snapshot(records), now_ms);
                 upstreams.set_upstreams_revision(revision);
                 drop(upstreams);
-                relay.renew(PlatformData::Upstreams);
+                relay.mark_fresh(PlatformData::Upstreams);
             }
             PollUpdate::Changes(changes) => {
                 for change in changes.items {
@@ -160,13 +161,13 @@
             }
             PollUpdate::Unavailable(_) => relay.set_follows_platform(false),
         }
-        relay.stages.pump_all(&relay);
+        relay.stages.start_all_calls(&relay);
     }
     feed.close().await;
 }
 
 fn list_update(change: StoreChange<UpstreamRecord>) -> ListUpdate {
-    let name = name_of(&change).to_owned();
+    let name = object_name(&change).to_owned();
     match record_of(change) {
         Some(record) => {
             info!(
@@ -198,7 +199,7 @@
     }
 }
 
-/// Returns the changes of an update; a snapshot counts as one change for each object.
+/// Returns the changes of an update; a snapshot counts as one change per object.
 fn changes_of<T>(update: PollUpdate<StoreChange<T>>) -> Vec<StoreChange<T>> {
     match update {
         PollUpdate::Snapshot { items, .. } => items,
@@ -207,7 +208,7 @@
     }
 }
 
-fn name_of<T>(change: &StoreChange<T>) -> &str {
+fn object_name<T>(change: &StoreChange<T>) -> &str {
     match change {
         StoreChange::Present { name, .. }
         | StoreChange::Absent { name }
--- a/crates/entry/src/relay/peers.rs
+++ b/crates/entry/src/relay/peers.rs
@@ -1,6 +1,6 @@
-//! The other entries: whether they live, who owns shared work, and whom to ask.
+//! The other entries: which are alive, which of them owns a stage service, and which to poll.
 
-mod ask;
+mod hello;
 mod record;
 mod serve;
 
@@ -20,67 +20,70 @@
 use yuccatrail_rpc::entries::{EntryAddress, EntryPeerClient, HelloReply, QueueState};
 
 use crate::relay::{
-    peers::ask::Missing,
+    peers::hello::MissingConfiguration,
     state::{Relay, lock},
 };
 
 pub(crate) use record::{follow_entries, register, unregister};
 pub(crate) use serve::serve;
 
-/// Shortest time between two questions to another entry, in milliseconds.
+/// Minimum interval between hellos to another entry, in milliseconds.
 const HELLO_INTERVAL_MS: u64 = 300;
-/// Time between two questions for each entry of the installation, in milliseconds, so that an owner,
-/// which all others ask, answers at most 200 a second.
+/// Interval between hellos per entry of the installation, in milliseconds, so that an owner, which all
+/// other entries poll, answers at most 200 hellos a second.
 const HELLO_INTERVAL_PER_ENTRY_MS: u64 = 5;
 
-/// An entry that answers.
+/// An entry that responds.
 #[derive(Clone)]
 pub(crate) struct Peer {
     /// Name of the entry.
     pub(crate) name: String,
-    /// Calls to the entry.
+    /// RPC client for the entry.
     pub(crate) client: EntryPeerClient,
-    /// Cancelled when the entry no longer answers.
+    /// Cancelled when the entry no longer responds.
     pub(crate) lost: CancellationToken,
 }
 
-/// What is known of another entry.
-struct Known {
+/// Another entry that is listed.
+struct KnownEntry {
     record: EntryRecord,
-    /// Ends the questions to the entry; none while it is not asked.
-    asking: Option<CancellationToken>,
+    /// Cancelling it stops polling the entry; none while the entry is not polled.
+    polling: Option<CancellationToken>,
+    /// Connection to the entry; none until it has responded.
     peer: Option<Peer>,
+    /// Queue states from its last hello reply, by service.
     queues: FastMap<String, QueueState>,
 }
 
-/// All entries, with the calls to those that are asked.
+/// All entries, with the connections to those that are polled.
 struct Directory {
     view: EntryView,
-    known: FastMap<String, Known>,
-    /// Own state with which it was last decided whom to ask; none where that has to be decided again.
-    decided_with: Option<OwnState>,
+    known: FastMap<String, KnownEntry>,
+    /// State of this entry for which the polled entries were last chosen; none if they have to be
+    /// chosen again.
+    polled_for: Option<OwnState>,
 }
 
-/// Who owns a piece of shared work.
+/// Owner of a stage service.
 pub(crate) enum Owner {
     /// This entry.
-    Own,
+    Local,
     /// Another entry.
-    Other(Peer),
+    Remote(Peer),
 }
 
-/// All other entries.
+/// The other entries.
 pub(crate) struct Peers {
     directory: Mutex<Directory>,
-    missing: Mutex<Missing>,
+    missing_configuration: Mutex<MissingConfiguration>,
 }
 
 impl Peers {
-    /// Creates the directory of the entry `own`, which knows no other yet.
+    /// Creates the directory of the entry `own`, without other entries.
     pub(crate) fn new(own: Candidate) -> Self {
         let view = EntryView::new(own);
-        let directory = Directory { view, known: FastMap::default(), decided_with: None };
-        Self { directory: Mutex::new(directory), missing: Mutex::default() }
+        let directory = Directory { view, known: FastMap::default(), polled_for: None };
+        Self { directory: Mutex::new(directory), missing_configuration: Mutex::default() }
     }
 
     /// Returns the owner of a stage service.
@@ -90,63 +93,63 @@
         let Directory { view, known, .. } = &mut *directory;
         let owner = view.owner(service, own).and_then(|it| known.get(it));
         match owner.and_then(|it| it.peer.clone()) {
-            Some(peer) => Owner::Other(peer),
-            None => Owner::Own,
+            Some(peer) => Owner::Remote(peer),
+            None => Owner::Local,
         }
     }
 
-    /// Returns the expected wait in the queue of a service at its owner, in milliseconds; none where
-    /// this entry is the owner.
+    /// Returns the expected queueing time of a service at its owner, in milliseconds; none if this entry
+    /// is the owner or the owner has not reported the queue.
     pub(crate) fn wait_ms(&self, relay: &Relay, service: &str) -> Option<u64> {
         self.queue_at_owner(relay, service)?.map(|it| it.wait_ms)
     }
 
-    /// Tells whether much waits in the queue of a service at its owner; none where this entry is the
-    /// owner.
-    pub(crate) fn is_pressed(&self, relay: &Relay, service: &str) -> Option<bool> {
+    /// Tells whether a service has a backlog at its owner; none if this entry is the owner.
+    pub(crate) fn has_backlog_at_owner(&self, relay: &Relay, service: &str) -> Option<bool> {
         Some(self.queue_at_owner(relay, service)?.is_some_and(|it| it.is_pressed))
     }
 
-    /// Returns what another entry that owns a service last told of its queue, if it told of it; none
-    /// where this entry is the owner.
+    /// Returns the queue state that the owner of a service last reported, if any; none if this entry is
+    /// the owner.
     fn queue_at_owner(&self, relay: &Relay, service: &str) -> Option<Option<QueueState>> {
-        let Owner::Other(peer) = self.owner(relay, service) else { return None };
+        let Owner::Remote(peer) = self.owner(relay, service) else { return None };
         let directory = lock(&self.directory);
         Some(directory.known.get(&peer.name).and_then(|it| it.queues.get(service)).cloned())
     }
 
-    /// Begins to ask the entries that have to be asked and stops asking the others.
-    pub(crate) fn decide_whom_to_ask(&self, relay: &Arc<Relay>) {
+    /// Starts polling the entries that have to be polled and stops polling the others.
+    pub(crate) fn update_polled_entries(&self, relay: &Arc<Relay>) {
         let own = own_state(relay);
-        if lock(&self.directory).decided_with == Some(own) {
+        if lock(&self.directory).polled_for == Some(own) {
             return;
         }
         let services = relay.stages.services();
         let mut directory = lock(&self.directory);
-        let Directory { view, known, decided_with } = &mut *directory;
-        *decided_with = Some(own);
-        let asked = view.peers_to_poll(&services, own);
+        let Directory { view, known, polled_for } = &mut *directory;
+        *polled_for = Some(own);
+        let to_poll = view.peers_to_poll(&services, own);
         for (name, entry) in known.iter_mut() {
-            if asked.contains(name) == entry.asking.is_some() {
+            if to_poll.contains(name) == entry.polling.is_some() {
                 continue;
             }
-            if let Some(asking) = entry.asking.take() {
-                // Calls in progress at the entry go on.
-                asking.cancel();
+            if let Some(polling) = entry.polling.take() {
+                // Calls in progress at the entry continue.
+                polling.cancel();
                 entry.peer = None;
                 view.set_state(name, PeerState::Unknown);
                 continue;
             }
             let stop = CancellationToken::new();
-            entry.asking = Some(stop.clone());
+            entry.polling = Some(stop.clone());
             let address = entry.record.peer_address;
-            tokio::spawn(ask::maintain(relay.clone(), name.clone(), address, stop));
+            tokio::spawn(hello::poll_entry(relay.clone(), name.clone(), address, stop));
         }
     }
 
-    /// Decides again whom to ask, for instance because there are other stage services now.
-    pub(crate) fn note_change(&self) {
-        lock(&self.directory).decided_with = None;
+    /// Makes the next housekeeping round choose the polled entries again, for instance because the
+    /// stage services have changed.
+    pub(crate) fn invalidate_polled_entries(&self) {
+        lock(&self.directory).polled_for = None;
     }
 
     fn set_record(&self, relay: &Relay, name: &str, record: EntryRecord) {
@@ -160,10 +163,10 @@
         info!(entry = name, address:% = record.peer_address; "entry listed");
         let candidate = Candidate { name: name.to_owned(), cpu_share: record.cpu_share };
         directory.view.add(candidate);
-        directory.decided_with = None;
-        let entry = Known { record, asking: None, peer: None, queues: FastMap::default() };
+        directory.polled_for = None;
+        let entry = KnownEntry { record, polling: None, peer: None, queues: FastMap::default() };
         if let Some(replaced) = directory.known.insert(name.to_owned(), entry) {
-            // This is another run of the entry; the calls to the one before get no answer.
+            // The entry has restarted; calls to its previous run get no response.
             if let Some(peer) = &replaced.peer {
                 peer.lost.cancel();
             }
@@ -176,12 +179,12 @@
         if let Some(removed) = directory.known.remove(name) {
             info!(entry = name; "entry no longer listed");
             directory.view.remove(name);
-            directory.decided_with = None;
+            directory.polled_for = None;
             removed.close();
         }
     }
 
-    fn note_reply(&self, name: &str, reply: HelloReply, peer: &Peer, stop: &CancellationToken) {
+    fn record_reply(&self, name: &str, reply: HelloReply, peer: &Peer, stop: &CancellationToken) {
         let mut directory = lock(&self.directory);
         let Some(entry) = directory.known.get_mut(name) else { return };
         if stop.is_cancelled() {
@@ -190,32 +193,32 @@
         entry.peer = Some(peer.clone());
         entry.queues = reply.queues.into_iter().map(|it| (it.service.clone(), it)).collect();
         let (takes_work, follows_platform) = (reply.takes_work, reply.list_revisions.is_some());
-        let heard = PeerState::Alive { takes_work, follows_platform };
-        if directory.hear(name, heard) {
+        let state = PeerState::Alive { takes_work, follows_platform };
+        if directory.set_state(name, state) {
             info!(entry = name, takes_work, follows_platform; "entry heard");
         }
     }
 
-    fn note_lost(&self, name: &str, detail: &str, stop: &CancellationToken) {
+    fn record_loss(&self, name: &str, detail: &str, stop: &CancellationToken) {
         let mut directory = lock(&self.directory);
         let Some(entry) = directory.known.get_mut(name) else { return };
         if stop.is_cancelled() {
             return;
         }
         if let Some(peer) = entry.peer.take() {
-            warn!(entry = name, detail = detail; "entry lost");
+            warn!(entry = name, detail = detail; "lost contact with entry");
             peer.lost.cancel();
         }
         entry.queues.clear();
-        directory.hear(name, PeerState::Lost);
+        directory.set_state(name, PeerState::Lost);
     }
 
-    /// Returns the names of all entries but this one.
+    /// Returns the names of all other entries.
     fn names(&self) -> Vec<String> {
         lock(&self.directory).known.keys().cloned().collect()
     }
 
-    /// Returns the time between two questions to an entry, in milliseconds.
+    /// Returns the interval between hellos to an entry, in milliseconds.
     fn hello_interval_ms(&self) -> u64 {
         let entries = lock(&self.directory).view.entry_count() as u64;
         HELLO_INTERVAL_MS.max(entries * HELLO_INTERVAL_PER_ENTRY_MS)
@@ -223,21 +226,21 @@
 }
 
 impl Directory {
-    /// Notes what was heard of an entry; returns whether that is new.
-    fn hear(&mut self, name: &str, heard: PeerState) -> bool {
-        let is_new = self.view.set_state(name, heard);
+    /// Records the observed state of an entry; returns whether it has changed.
+    fn set_state(&mut self, name: &str, state: PeerState) -> bool {
+        let is_new = self.view.set_state(name, state);
         if is_new {
-            self.decided_with = None;
+            self.polled_for = None;
         }
         is_new
     }
 }
 
-impl Known {
-    /// Stops asking the entry; calls in progress there go on.
+impl KnownEntry {
+    /// Stops polling the entry; calls in progress there continue.
     fn close(self) {
-        if let Some(asking) = self.asking {
-            asking.cancel();
+        if let Some(polling) = self.polling {
+            polling.cancel();
         }
     }
 }
@@ -246,13 +249,13 @@
     OwnState { takes_work: relay.is_ready(), follows_platform: relay.follows_platform() }
 }
 
-/// Notes an entry that another one told of, or that asks.
-fn note_address(relay: &Relay, entry: EntryAddress) {
+/// Adds an entry that another entry listed, or that sent a hello.
+fn record_address(relay: &Relay, entry: EntryAddress) {
     let record = EntryRecord { peer_address: entry.peer_address, cpu_share: entry.cpu_share };
     relay.peers.set_record(relay, &entry.name, record);
 }
 
-/// Returns the context of a call that is given up after a time in milliseconds.
+/// Returns the context of an RPC with a timeout in milliseconds.
 pub(crate) fn context_for(limit_ms: u64) -> Context {
     let mut context = context::current();
     context.deadline = Instant::now() + Duration::from_millis(limit_ms);
--- a/crates/entry/src/relay/request.rs
+++ b/crates/entry/src/relay/request.rs
@@ -1,4 +1,4 @@
-//! A caller's request from its head to the choice of how it is served.
+//! Receives a caller's request, authorizes it and serves it by the kind of its route.
 
 use std::{
     sync::{
@@ -13,7 +13,7 @@
 use hyper::{HeaderMap, Method, Request, Response, StatusCode, Uri, body::Incoming, header};
 use log::info;
 use yuccatrail_adapter::{
-    CallHead, CallerHead, UpstreamAnswer, decode_caller, retry_after, upstream_headers,
+    AddedHeaders, CallerHeaders, ResponseMeta, decode_caller_headers, retry_after, upstream_headers,
 };
 use yuccatrail_core::{
     outcome::Execution,
@@ -24,89 +24,90 @@
 use crate::{
     caller::problem::Problem,
     relay::{
-        attempt::{Attempt, AttemptError, Outgoing},
+        attempt::{Attempt, AttemptError, UpstreamRequest},
         metrics::RequestLabels,
         model, plain,
         sabotage::Mechanism,
-        state::{InProgress, Relay},
+        state::{InProgressGuard, Relay},
     },
 };
 
-/// Wait that is proposed to callers while the entry lacks a configuration, in milliseconds: about
-/// the time of a start.
+/// Retry-After while the entry has no configuration, in milliseconds; about the time of a start.
 const NO_CONFIGURATION_RETRY_MS: u64 = 500;
-/// Wait that is proposed for a request that crashes its upstreams, in milliseconds: half of the time for
-/// which that is held against it.
+/// Retry-After for a request that crashes its upstreams, in milliseconds; half of the time for which
+/// crashes count against it.
 const CRASHING_RETRY_MS: u64 = 60_000;
-/// Deadline of a request that states none, in milliseconds, unless its route has a shorter time-out.
+/// Deadline of a request that states none, in milliseconds; the route's timeout limits it further.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
 
-/// Body of an answer to a caller.
-pub(crate) type AnswerBody = UnsyncBoxBody<Bytes, BrokenOff>;
+/// Body of a response to a caller.
+pub(crate) type ResponseBody = UnsyncBoxBody<Bytes, ResponseAborted>;
 
-/// The answer ends before it is whole; the connection has to show it.
+/// The response ends before it is complete; hyper aborts the caller's connection on this error.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error)]
-#[display("answer broken off")]
-pub(crate) struct BrokenOff;
+#[display("response aborted")]
+pub(crate) struct ResponseAborted;
 
-/// A request that the configuration allows.
+/// An authorized request of a caller, with its whole body.
 pub(crate) struct CallerRequest {
-    /// Identifier that the caller gave it.
+    /// Identifier from the caller; empty if it sent none.
     pub(crate) id: String,
-    /// What its head says.
-    pub(crate) head: CallerHead,
-    /// Route and customer.
-    pub(crate) admission: AuthorizedRequest,
-    /// Service that was chosen for it.
+    /// Decoded headers.
+    pub(crate) head: CallerHeaders,
+    /// Matched route and customer.
+    pub(crate) authorized: AuthorizedRequest,
+    /// Service that the route's traffic split selected.
     pub(crate) service: Arc<str>,
-    /// Time of its arrival, in milliseconds.
+    /// Arrival time, in milliseconds since the start of the relay.
     pub(crate) arrived_ms: u64,
-    /// Time until which an answer is of use: the caller's deadline or the route's time-out.
+    /// Deadline, in milliseconds since the start of the relay: the caller's or the route's timeout,
+    /// whichever is earlier.
     pub(crate) deadline_ms: u64,
     method: Method,
     uri: Uri,
     headers: HeaderMap,
     body: Bytes,
-    /// Calls that may have run, or are about to be sent.
-    sent: AtomicUsize,
+    /// Number of calls that may have run, including those about to be sent.
+    possible_runs: AtomicUsize,
 }
 
-/// Why a request gets no answer of an upstream.
+/// Why a request is answered by the relay itself instead of an upstream.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Refusal {
     /// Machine-readable reason.
     pub(crate) reason: &'static str,
-    /// Time after which the caller may come again, in milliseconds; only where nothing has run.
+    /// Retry-After, in milliseconds; sent only if nothing has run.
     pub(crate) retry_after_ms: Option<u64>,
-    /// Status when the request may have run.
+    /// Status to use if the request may have run.
     pub(crate) status: StatusCode,
 }
 
 impl Refusal {
-    /// Refuses a request that has not run.
+    /// Refusal with a Retry-After, for a request that is not expected to have run.
     pub(crate) fn busy(reason: &'static str, retry_after_ms: u64) -> Self {
         let status = StatusCode::BAD_GATEWAY;
         Self { reason, retry_after_ms: Some(retry_after_ms), status }
     }
 
-    /// Gives up a request whose time is over.
+    /// Refusal of a request whose deadline has passed.
     pub(crate) fn timed_out(reason: &'static str) -> Self {
         Self { reason, retry_after_ms: None, status: StatusCode::GATEWAY_TIMEOUT }
     }
 }
 
 impl CallerRequest {
-    /// Returns the time that is left, in milliseconds.
+    /// Returns the time left until the deadline, in milliseconds.
     pub(crate) fn remaining_ms(&self, now_ms: u64) -> u64 {
         self.deadline_ms.saturating_sub(now_ms)
     }
 
-    /// Returns the time by which an answer is on time, in milliseconds.
-    pub(crate) fn aim_ms(&self) -> u64 {
-        self.arrived_ms + self.admission.route.target_latency_ms
+    /// Returns the time by which a response meets the route's target latency, in milliseconds since the
+    /// start of the relay.
+    pub(crate) fn soft_deadline_ms(&self) -> u64 {
+        self.arrived_ms + self.authorized.route.target_latency_ms
     }
 
-    /// Returns the method.
+    /// Returns the HTTP method.
     pub(crate) fn method(&self) -> &Method {
         &self.method
     }
@@ -116,46 +117,46 @@
         self.uri.path_and_query().map_or("/", |it| it.as_str())
     }
 
-    /// Returns the whole body.
+    /// Returns the complete body.
     pub(crate) fn body(&self) -> &Bytes {
         &self.body
     }
 
-    /// Sends the request and keeps account of whether an upstream may have run it.
+    /// Sends the request and keeps count of the calls that may have run.
     pub(crate) async fn send(
         &self,
         attempt: &mut Attempt,
-        outgoing: &Outgoing,
-    ) -> Result<(Response<Incoming>, UpstreamAnswer), AttemptError> {
-        // Counted before the first byte, so that a cancelled call counts as one that may have run.
-        self.sent.fetch_add(1, Ordering::Relaxed);
-        let sent = attempt.send(outgoing).await;
+        upstream_request: &UpstreamRequest,
+    ) -> Result<(Response<Incoming>, ResponseMeta), AttemptError> {
+        // Counted before the first byte is sent, so that a cancelled call counts as possibly run.
+        self.possible_runs.fetch_add(1, Ordering::Relaxed);
+        let sent = attempt.send(upstream_request).await;
         let is_not_run = match &sent {
-            Ok((_, answer)) => answer.is_not_run,
+            Ok((_, meta)) => meta.is_not_run,
             Err(error) => matches!(error, AttemptError::Unreachable(_)),
         };
         if is_not_run {
-            self.sent.fetch_sub(1, Ordering::Relaxed);
+            self.possible_runs.fetch_sub(1, Ordering::Relaxed);
         }
         sent
     }
 
     /// Builds the request to an upstream.
-    pub(crate) fn outgoing(
+    pub(crate) fn upstream_request(
         &self,
         upstream: &UpstreamRecord,
         now_ms: u64,
         inputs: Option<String>,
         last_event_id: Option<u64>,
-    ) -> Outgoing {
-        let call = CallHead {
+    ) -> UpstreamRequest {
+        let call = AddedHeaders {
             upstream_id: &upstream.id,
             remaining_ms: self.remaining_ms(now_ms),
-            customer: self.admission.customer.as_deref(),
+            customer: self.authorized.customer.as_deref(),
             inputs,
             last_event_id,
         };
-        Outgoing {
+        UpstreamRequest {
             method: self.method.clone(),
             uri: self.uri.clone(),
             headers: upstream_headers(&self.headers, &call),
@@ -164,10 +165,10 @@
         }
     }
 
-    /// Builds the answer to a request that gets none of an upstream.
-    pub(crate) fn refuse(&self, relay: &Relay, refusal: &Refusal) -> Response<AnswerBody> {
+    /// Builds, logs and counts the response to a request that no upstream answered.
+    pub(crate) fn refuse(&self, relay: &Relay, refusal: &Refusal) -> Response<ResponseBody> {
         let may_have_run =
-            self.sent.load(Ordering::Relaxed) > 0 && !Mechanism::TrueRefusal.is_off();
+            self.possible_runs.load(Ordering::Relaxed) > 0 && !Mechanism::TrueRefusal.is_off();
         let (status, outcome) = if may_have_run {
             (refusal.status, Execution::Unknown)
         } else {
@@ -177,7 +178,7 @@
         let took_ms = relay.now_ms().saturating_sub(self.arrived_ms);
         info!(
             id:% = self.id,
-            route:% = self.admission.route.name,
+            route:% = self.authorized.route.name,
             reason = refusal.reason,
             status = status.as_u16(),
             outcome:% = outcome,
@@ -186,7 +187,7 @@
             "request refused"
         );
         let labels = RequestLabels {
-            route: self.admission.route.name.clone(),
+            route: self.authorized.route.name.clone(),
             status: status.as_u16(),
             reason: refusal.reason.to_owned(),
         };
@@ -198,18 +199,21 @@
             outcome,
             retry_after_ms,
         };
-        answer_problem(&problem, &self.id)
+        problem_response(&problem, &self.id)
     }
 }
 
-/// Serves one request.
-pub(crate) async fn handle(relay: Arc<Relay>, request: Request<Incoming>) -> Response<AnswerBody> {
+/// Handles one HTTP request of a caller.
+pub(crate) async fn handle_request(
+    relay: Arc<Relay>,
+    request: Request<Incoming>,
+) -> Response<ResponseBody> {
     let in_progress = relay.begin_request();
     let arrived_ms = relay.now_ms();
-    relay.until_fresh().await;
+    relay.wait_until_fresh().await;
     let (parts, body) = request.into_parts();
-    let head = decode_caller(&parts.headers);
-    // A request may come without an identifier; its log lines then show an empty one.
+    let head = decode_caller_headers(&parts.headers);
+    // Requests without an identifier are logged with an empty one.
     let id = head.request_id.clone().unwrap_or_default();
     let Some(table) = relay.table() else {
         let problem = Problem {
@@ -221,17 +225,17 @@
         };
         return reject(&relay, &id, &problem);
     };
-    let admission = match admit(&table, &parts.headers, &parts.uri, &head) {
-        Ok(admission) => admission,
+    let authorized = match authorize(&table, &parts.headers, &parts.uri, &head) {
+        Ok(authorized) => authorized,
         Err(problem) => return reject(&relay, &id, &problem),
     };
-    let timeout_ms = admission.route.timeout_ms;
+    let timeout_ms = authorized.route.timeout_ms;
     let wait_ms = head.deadline_ms.unwrap_or(DEFAULT_DEADLINE_MS).min(timeout_ms);
     let body = match read_body(body, &table, wait_ms).await {
         Ok(body) => body,
         Err(problem) => return reject(&relay, &id, &problem),
     };
-    let Some(service) = admission.route.select_service(rand::random()).cloned() else {
+    let Some(service) = authorized.route.select_service(rand::random()).cloned() else {
         let problem = bad_request("no_service", "The route names no service.");
         return reject(&relay, &id, &problem);
     };
@@ -239,7 +243,7 @@
     let request = Arc::new(CallerRequest {
         id,
         head,
-        admission,
+        authorized,
         service,
         arrived_ms,
         deadline_ms: arrived_ms + wait_ms,
@@ -247,7 +251,7 @@
         uri: parts.uri,
         headers: parts.headers,
         body,
-        sent: AtomicUsize::new(0),
+        possible_runs: AtomicUsize::new(0),
     });
     if relay.crashes.is_refused(&request, arrived_ms) {
         return request.refuse(&relay, &Refusal::busy("crashes_upstreams", CRASHING_RETRY_MS));
@@ -258,11 +262,11 @@
 async fn serve(
     relay: &Arc<Relay>,
     request: &Arc<CallerRequest>,
-    in_progress: InProgress,
-) -> Response<AnswerBody> {
+    in_progress: InProgressGuard,
+) -> Response<ResponseBody> {
     let limit = Duration::from_millis(request.remaining_ms(relay.now_ms()));
     let served = async {
-        match request.admission.route.kind {
+        match request.authorized.route.kind {
             RouteKind::Stream => model::serve(relay, request, in_progress).await,
             RouteKind::Idempotent | RouteKind::AtMostOnce => plain::serve(relay, request).await,
         }
@@ -271,7 +275,7 @@
         Ok(Ok(response)) => {
             let took_ms = relay.now_ms().saturating_sub(request.arrived_ms);
             let labels = RequestLabels {
-                route: request.admission.route.name.clone(),
+                route: request.authorized.route.name.clone(),
                 status: response.status().as_u16(),
                 reason: String::new(),
             };
@@ -283,11 +287,11 @@
     }
 }
 
-fn admit(
+fn authorize(
     table: &RouteTable,
     headers: &HeaderMap,
     uri: &Uri,
-    head: &CallerHead,
+    head: &CallerHeaders,
 ) -> Result<AuthorizedRequest, Problem> {
     let stated = headers.get(header::HOST).and_then(|it| it.to_str().ok());
     let Some(host) = stated.or_else(|| uri.host()) else {
@@ -323,8 +327,8 @@
     Problem::bad_request(StatusCode::BAD_REQUEST, reason, detail)
 }
 
-/// Answers a request that was not taken up.
-fn reject(relay: &Relay, id: &str, problem: &Problem) -> Response<AnswerBody> {
+/// Builds, logs and counts the response to a request that is rejected before it is served.
+fn reject(relay: &Relay, id: &str, problem: &Problem) -> Response<ResponseBody> {
     info!(
         id = id,
         reason:% = problem.reason,
@@ -338,10 +342,10 @@
         reason: problem.reason.clone(),
     };
     relay.metrics.count(labels, 0);
-    answer_problem(problem, id)
+    problem_response(problem, id)
 }
 
-fn answer_problem(problem: &Problem, id: &str) -> Response<AnswerBody> {
+fn problem_response(problem: &Problem, id: &str) -> Response<ResponseBody> {
     let response = problem.to_response(id);
     let mut response = response.map(|body| body.map_err(|never| match never {}).boxed_unsync());
     if let Some(retry_after_ms) = problem.retry_after_ms {
