--- a/crates/core/src/quarantine/registry.rs
+++ b/crates/core/src/quarantine/registry.rs
@@ -99,7 +99,7 @@
             strikes += 1;
             ran_alone |= strike.alone;
         }
-        ran_alone |= !self.mechanisms.has(Sabotage::CondemnOnlyAlone);
+        ran_alone |= !self.mechanisms.has(Sabotage::QuarantineOnlyAlone);
         if strikes >= self.limits.strikes && ran_alone {
             return Admission::Refused;
         }
@@ -123,7 +123,7 @@
         self.merge(strikes, now_ms);
         let admission = self.admit(fingerprint, now_ms);
         let is_entry_unaware = admission == Admission::Exclusive && strikes.is_empty();
-        (!is_entry_unaware || !self.mechanisms.has(Sabotage::RefuseUnawareSubmit))
+        (!is_entry_unaware || !self.mechanisms.has(Sabotage::RefuseOutdatedSubmit))
             .then_some(admission)
     }
 
--- a/crates/core/tests/at_most_once_fuzz.rs
+++ b/crates/core/tests/at_most_once_fuzz.rs
@@ -415,8 +415,8 @@
         Sabotage::DispatchNumber,
         Sabotage::DispatchPermission,
     ] {
-        fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage), false));
+        fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage), false));
     }
     let sabotage = Sabotage::ReleaseUnsettled;
-    fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage), true));
+    fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage), true));
 }
--- a/crates/core/tests/attempt_fuzz.rs
+++ b/crates/core/tests/attempt_fuzz.rs
@@ -320,10 +320,10 @@
     for sabotage in [
         Sabotage::Tombstone,
         Sabotage::TombstoneRetention,
-        Sabotage::JoinRepeatedSubmit,
+        Sabotage::DeduplicateSubmits,
         Sabotage::DispatchLimit,
         Sabotage::UnknownAfterEviction,
     ] {
-        fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage)));
+        fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage)));
     }
 }
--- a/crates/core/tests/attempt_output_fuzz.rs
+++ b/crates/core/tests/attempt_output_fuzz.rs
@@ -214,9 +214,9 @@
 #[cfg(feature = "sabotage")]
 #[test]
 fn each_disabled_mechanism_is_detected() {
-    for sabotage in [Sabotage::ResultMatching, Sabotage::ChunkOrder, Sabotage::WholeAnswer] {
-        fuzz_support::assert_caught(sabotage, fuzz_pages(Some(sabotage)));
+    for sabotage in [Sabotage::ResultMatching, Sabotage::ChunkOrder, Sabotage::AnswerCompleteness] {
+        fuzz_support::assert_detected(sabotage, fuzz_pages(Some(sabotage)));
     }
     let sabotage = Sabotage::CreditOncePerStage;
-    fuzz_support::assert_caught(sabotage, fuzz_retries(Some(sabotage)));
+    fuzz_support::assert_detected(sabotage, fuzz_retries(Some(sabotage)));
 }
--- a/crates/core/tests/quarantine_fuzz.rs
+++ b/crates/core/tests/quarantine_fuzz.rs
@@ -308,12 +308,12 @@
 #[test]
 fn each_disabled_mechanism_is_detected() {
     for sabotage in [
-        Sabotage::CondemnOnlyAlone,
+        Sabotage::QuarantineOnlyAlone,
         Sabotage::RunSuspectsAlone,
-        Sabotage::RefuseUnawareSubmit,
+        Sabotage::RefuseOutdatedSubmit,
         Sabotage::MergeStrikes,
         Sabotage::ClearCompleted,
     ] {
-        fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage)));
+        fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage)));
     }
 }
--- a/crates/entry/src/relay/stages.rs
+++ b/crates/entry/src/relay/stages.rs
@@ -1,4 +1,6 @@
-//! Makes the pieces of stages in batches.
+//! Queues of the stage services, whose pieces of work are sent to upstreams in batches.
+//!
+//! Each stage service has one owner among the entries, which batches the pieces of all of them.
 
 use std::{
     sync::{Arc, Mutex},
@@ -9,7 +11,7 @@
 use log::{info, warn};
 use tokio::sync::oneshot;
 use yuccatrail_adapter::{
-    STAGE_PATH, StageCallItem, decode_stage_results, encode_stage_call, maker_of,
+    STAGE_PATH, StageCallItem, decode_stage_results, encode_stage_call, result_holder,
 };
 use yuccatrail_core::{
     FastMap,
@@ -30,26 +32,27 @@
     state::{Relay, lock},
 };
 
-/// Times the expected duration after which a call is given up.
-const CALL_LIMIT_FACTOR: u64 = 6;
-/// Shortest limit of a call, in milliseconds; a call that waits behind two others takes a second.
-const MIN_CALL_LIMIT_MS: u64 = 2_000;
-
-/// Time after which an upstream has read the inputs of a call, in milliseconds: a few megabytes take
-/// one, the way to another data centre a few, a lost packet up to a hundred.
-const READ_MS: u64 = 120;
-/// Owners that are asked for the work of one stage before this entry does it itself.
-const MAX_OWNERS: usize = 3;
-/// Time beyond the deadline for which an owner's answer is awaited, in milliseconds.
+/// Multiple of its expected duration after which a call times out.
+const CALL_TIMEOUT_FACTOR: u64 = 6;
+/// Minimum timeout of a call, in milliseconds; a call queued behind two others takes a second.
+const MIN_CALL_TIMEOUT_MS: u64 = 2_000;
+
+/// Time after which an upstream has read the inputs of a call, in milliseconds: the transfer of a few
+/// megabytes takes one, the latency to another data centre a few, a lost packet up to a hundred.
+const INPUT_READ_MS: u64 = 120;
+/// Number of owners to try for the work of one stage before this entry takes it on itself.
+const MAX_OWNER_TRIES: usize = 3;
+/// Time beyond the deadline for which this entry waits for the owner's response, in milliseconds.
 const PEER_SLACK_MS: u64 = 100;
 
-/// How the work of a stage ended, with its results.
-type Ending = (GroupOutcome, Vec<ResultHandle>);
+/// How the work of a stage ended, and handles of the results that it has produced.
+type StageOutcome = (GroupOutcome, Vec<ResultHandle>);
 
+/// Queue of one stage service, and the requests that wait for its groups of pieces.
 #[derive(Debug)]
 struct Queue {
     batcher: Batcher,
-    waiters: FastMap<GroupKey, oneshot::Sender<Ending>>,
+    waiters: FastMap<GroupKey, oneshot::Sender<StageOutcome>>,
 }
 
 /// Queues of all stage services.
@@ -58,14 +61,14 @@
     queues: Mutex<FastMap<Arc<str>, Queue>>,
 }
 
-/// Cancels the work of a stage whose request has gone.
-struct Waiting {
+/// Cancels a group of pieces when dropped, for instance because its request was cancelled.
+struct GroupGuard {
     relay: Arc<Relay>,
     service: Arc<str>,
     group: GroupKey,
 }
 
-impl Drop for Waiting {
+impl Drop for GroupGuard {
     fn drop(&mut self) {
         let unused = self.relay.stages.cancel(&self.service, self.group);
         self.relay.releases.add(unused);
@@ -73,7 +76,7 @@
 }
 
 impl StageQueues {
-    /// Sets the limits of a service.
+    /// Sets the limits of a stage service and creates its queue on first use.
     pub(crate) fn configure(&self, service: &Arc<str>, limits: StageService) {
         let mut queues = lock(&self.queues);
         match queues.get_mut(service) {
@@ -85,23 +88,23 @@
         }
     }
 
-    /// Returns the stage services.
+    /// Returns the names of the stage services.
     pub(crate) fn services(&self) -> Vec<Arc<str>> {
         lock(&self.queues).keys().cloned().collect()
     }
 
-    /// Makes all pieces of a stage at the service's owner and returns their results.
+    /// Runs all pieces of a stage through the service's owner and returns their results.
     ///
-    /// Where the owner is lost on the way, the next one makes them again. Dropping the future gives
-    /// the work up.
+    /// If the owner is lost meanwhile, the next owner runs them again. Dropping the future cancels the
+    /// work.
     pub(crate) async fn run(
         &self,
         relay: &Arc<Relay>,
         service: &Arc<str>,
         work: StageWork,
-    ) -> Ending {
-        for _ in 0..MAX_OWNERS {
-            let Owner::Other(peer) = relay.peers.owner(relay, service) else { break };
+    ) -> StageOutcome {
+        for _ in 0..MAX_OWNER_TRIES {
+            let Owner::Remote(peer) = relay.peers.owner(relay, service) else { break };
             let now_ms = relay.now_ms();
             let sent = work.with_relative_times(now_ms);
             let context = context_for(sent.deadline_ms + PEER_SLACK_MS);
@@ -109,159 +112,173 @@
             let reply = tokio::select! {
                 reply = peer.client.run_stage(context, request) => reply,
                 () = peer.lost.cancelled() => {
-                    warn!(id:% = work.request_id, service:% = service; "owner lost, stage runs again");
+                    warn!(id:% = work.request_id, service:% = service; "owner lost, retrying the stage");
                     continue;
                 }
             };
             match reply {
                 Ok(reply) => return (reply.end, reply.handles),
                 Err(error) => {
-                    warn!(id:% = work.request_id, service:% = service, error:% = error; "owner failed");
+                    warn!(id:% = work.request_id, service:% = service, error:% = error; "call to stage owner failed");
                 }
             }
         }
-        self.run_here(relay, service, work).await
+        self.run_locally(relay, service, work).await
     }
 
-    /// Makes the pieces that another entry asks for.
-    pub(crate) async fn run_for_peer(&self, relay: &Arc<Relay>, request: StageRequest) -> Ending {
+    /// Runs all pieces of a stage on behalf of another entry.
+    pub(crate) async fn run_for_peer(
+        &self,
+        relay: &Arc<Relay>,
+        request: StageRequest,
+    ) -> StageOutcome {
         let service: Arc<str> = request.service.into();
         let work = request.work.with_absolute_times(relay.now_ms());
-        self.run_here(relay, &service, work).await
+        self.run_locally(relay, &service, work).await
     }
 
-    /// Returns the state of all queues, for other entries.
+    /// Returns the state of all queues, which the hello replies carry.
     pub(crate) fn states(&self, relay: &Relay) -> Vec<QueueState> {
         let services = self.services();
         let now_ms = relay.now_ms();
         let mut states = Vec::with_capacity(services.len());
         for service in services {
-            let Some(wait_ms) = self.own_estimate_ms(relay, &service, 1, now_ms) else { continue };
+            let Some(wait_ms) = self.local_estimate_ms(relay, &service, 1, now_ms) else {
+                continue;
+            };
             states.push(QueueState {
                 service: service.to_string(),
                 wait_ms: wait_ms as u64,
-                is_pressed: self.is_pressed_here(&service),
+                is_pressed: self.has_local_backlog(&service),
             });
         }
         states
     }
 
-    async fn run_here(&self, relay: &Arc<Relay>, service: &Arc<str>, work: StageWork) -> Ending {
-        if !self.can_be_in_time(relay, service, &work) {
+    async fn run_locally(
+        &self,
+        relay: &Arc<Relay>,
+        service: &Arc<str>,
+        work: StageWork,
+    ) -> StageOutcome {
+        if !self.can_meet_deadline(relay, service, &work) {
             return (GroupOutcome::Late, Vec::new());
         }
         let (sender, receiver) = oneshot::channel();
         let group = {
             let mut queues = lock(&self.queues);
             let Some(queue) = queues.get_mut(service) else {
-                warn!(service:% = service; "a stage names a service without stage limits");
+                warn!(service:% = service; "stage refers to a service without stage limits");
                 return (GroupOutcome::Failed, Vec::new());
             };
             let group = queue.batcher.submit(work);
             queue.waiters.insert(group, sender);
             group
         };
-        let waiting = Waiting { relay: relay.clone(), service: service.clone(), group };
-        self.pump(relay, service);
-        let ending = receiver.await.unwrap_or((GroupOutcome::Failed, Vec::new()));
-        drop(waiting);
-        ending
+        let guard = GroupGuard { relay: relay.clone(), service: service.clone(), group };
+        self.start_calls(relay, service);
+        let outcome = receiver.await.unwrap_or((GroupOutcome::Failed, Vec::new()));
+        drop(guard);
+        outcome
     }
 
-    /// Tells whether the queue lets the work meet its deadline.
-    fn can_be_in_time(&self, relay: &Relay, service: &str, work: &StageWork) -> bool {
-        let needed_ms = self.own_estimate_ms(relay, service, work.pieces, work.soft_deadline_ms);
+    /// Tells whether the work is expected to meet its deadline, given the queue.
+    fn can_meet_deadline(&self, relay: &Relay, service: &str, work: &StageWork) -> bool {
+        let needed_ms = self.local_estimate_ms(relay, service, work.pieces, work.soft_deadline_ms);
         needed_ms.is_none_or(|it| relay.now_ms() as f64 + it <= work.deadline_ms as f64)
     }
 
-    /// Returns the expected time to make pieces, in milliseconds; none for an unknown service.
+    /// Returns the expected time until pieces submitted now are finished, in milliseconds; none for an
+    /// unknown service.
     pub(crate) fn estimate_ms(
         &self,
         relay: &Relay,
         service: &str,
         pieces: usize,
-        aim_ms: u64,
+        soft_deadline_ms: u64,
     ) -> Option<f64> {
         if let Some(wait_ms) = relay.peers.wait_ms(relay, service) {
-            let own_ms = self.duration_ms(service, pieces) - self.duration_ms(service, 1);
-            return Some(wait_ms as f64 + own_ms.max(0.0));
+            let extra_ms = self.duration_ms(service, pieces) - self.duration_ms(service, 1);
+            return Some(wait_ms as f64 + extra_ms.max(0.0));
         }
-        self.own_estimate_ms(relay, service, pieces, aim_ms)
+        self.local_estimate_ms(relay, service, pieces, soft_deadline_ms)
     }
 
-    fn own_estimate_ms(
+    fn local_estimate_ms(
         &self,
         relay: &Relay,
         service: &str,
         pieces: usize,
-        aim_ms: u64,
+        soft_deadline_ms: u64,
     ) -> Option<f64> {
         let now_ms = relay.now_ms();
-        let engines = usable_engines(relay, service, now_ms).len();
+        let available = available_upstreams(relay, service, now_ms).len();
         let queues = lock(&self.queues);
         let batcher = &queues.get(service)?.batcher;
-        Some(batcher.estimate_ms(pieces, aim_ms, engines, now_ms))
+        Some(batcher.estimate_ms(pieces, soft_deadline_ms, available, now_ms))
     }
 
-    /// Returns the stated time of a call with pieces, in milliseconds.
+    /// Returns the configured duration of a call with this many pieces, in milliseconds.
     pub(crate) fn duration_ms(&self, service: &str, pieces: usize) -> f64 {
         lock(&self.queues).get(service).map_or(0.0, |it| it.batcher.duration_ms(pieces))
     }
 
-    /// Returns the time that a stage takes where all upstreams are busy, in milliseconds.
+    /// Returns the duration of a stage while all its upstreams are busy, in milliseconds.
     pub(crate) fn loaded_ms(&self, service: &str) -> f64 {
         lock(&self.queues).get(service).map_or(0.0, |it| it.batcher.duration_under_load_ms())
     }
 
-    /// Notes that results no longer take up room.
+    /// Records that results no longer occupy memory at their upstreams.
     pub(crate) fn note_released(&self, relay: &Arc<Relay>, handles: &[ResultHandle]) {
         for queue in lock(&self.queues).values_mut() {
             for handle in handles {
                 queue.batcher.release(handle);
             }
         }
-        self.pump_all(relay);
+        self.start_all_calls(relay);
     }
 
-    /// Gives up hopeless work, repeats overdue calls and starts what can start.
+    /// Expires work that can't meet its deadline, requeues the pieces of overdue calls and starts new
+    /// calls.
     pub(crate) fn tick(&self, relay: &Arc<Relay>) {
         let now_ms = relay.now_ms();
         for (service, queue) in lock(&self.queues).iter_mut() {
             queue.batcher.requeue_overdue(now_ms);
-            let engines = match queue.batcher.waiting() {
+            let available = match queue.batcher.waiting() {
                 0 => 0,
-                _ => usable_engines(relay, service, now_ms).len(),
+                _ => available_upstreams(relay, service, now_ms).len(),
             };
-            let settled = queue.batcher.expire(engines, now_ms);
+            let settled = queue.batcher.expire(available, now_ms);
             queue.deliver(relay, settled);
             let upstreams = relay.upstreams();
             queue.batcher.retain_upstreams(|it| upstreams.get(it).is_some());
         }
-        self.pump_all(relay);
+        self.start_all_calls(relay);
     }
 
-    /// Starts the calls that can start, of all services.
-    pub(crate) fn pump_all(&self, relay: &Arc<Relay>) {
+    /// Starts as many calls as the upstreams of all services accept.
+    pub(crate) fn start_all_calls(&self, relay: &Arc<Relay>) {
         let services: Vec<Arc<str>> = lock(&self.queues)
             .iter()
             .filter(|(_, it)| it.batcher.waiting() > 0)
             .map(|(service, _)| service.clone())
             .collect();
         for service in services {
-            self.pump(relay, &service);
+            self.start_calls(relay, &service);
         }
     }
 
-    fn pump(&self, relay: &Arc<Relay>, service: &Arc<str>) {
-        if relay.has_to_wait() {
+    /// Starts as many calls as the upstreams of one service accept.
+    fn start_calls(&self, relay: &Arc<Relay>, service: &Arc<str>) {
+        if relay.must_wait_for_lists() {
             return;
         }
         let now_ms = relay.now_ms();
-        let engines = usable_engines(relay, service, now_ms);
+        let available = available_upstreams(relay, service, now_ms);
         let mut queues = lock(&self.queues);
         let Some(queue) = queues.get_mut(service) else { return };
-        while let Some(order) = queue.batcher.next_call(&engines, now_ms) {
-            let call = StageCall::new(&queue.batcher, service, order, now_ms);
+        while let Some(planned) = queue.batcher.next_call(&available, now_ms) {
+            let call = StageCall::new(&queue.batcher, service, planned, now_ms);
             tokio::spawn(make_call(relay.clone(), call));
         }
     }
@@ -273,27 +290,28 @@
         queue.batcher.cancel(group)
     }
 
-    fn is_pressed_here(&self, service: &str) -> bool {
+    fn has_local_backlog(&self, service: &str) -> bool {
         lock(&self.queues).get(service).is_some_and(|it| it.batcher.has_backlog())
     }
 
-    /// Releases the inputs that a call has read, where their makers lack room.
-    fn let_inputs_go(&self, relay: &Relay, call: &StageCall) {
+    /// Releases the inputs that a call has read and that are held by upstreams of services with a
+    /// backlog.
+    fn release_read_inputs(&self, relay: &Relay, call: &StageCall) {
         let services = self.services();
-        let is_pressed = |service: &Arc<str>| {
-            let at_owner = relay.peers.is_pressed(relay, service);
-            at_owner.unwrap_or_else(|| self.is_pressed_here(service))
+        let has_backlog = |service: &Arc<str>| {
+            let at_owner = relay.peers.has_backlog_at_owner(relay, service);
+            at_owner.unwrap_or_else(|| self.has_local_backlog(service))
         };
-        let pressed: Vec<Arc<str>> = services.into_iter().filter(is_pressed).collect();
-        if pressed.is_empty() {
+        let backlogged: Vec<Arc<str>> = services.into_iter().filter(has_backlog).collect();
+        if backlogged.is_empty() {
             return;
         }
-        let is_wanted_back = |handle: &ResultHandle| {
-            let Some(maker) = maker_of(handle) else { return false };
-            relay.upstreams().service_at(maker).is_some_and(|it| pressed.contains(it))
+        let is_holder_backlogged = |handle: &ResultHandle| {
+            let Some(holder) = result_holder(handle) else { return false };
+            relay.upstreams().service_at(holder).is_some_and(|it| backlogged.contains(it))
         };
         let handles = match lock(&self.queues).get_mut(&call.service) {
-            Some(queue) => queue.batcher.release_inputs(call.order.call, is_wanted_back),
+            Some(queue) => queue.batcher.release_inputs(call.planned.call, is_holder_backlogged),
             None => return,
         };
         relay.releases.add(handles);
@@ -304,14 +322,15 @@
         {
             let mut queues = lock(&self.queues);
             let Some(queue) = queues.get_mut(&call.service) else { return };
-            let settled = queue.batcher.finish(call.order.call, result, now_ms);
+            let settled = queue.batcher.finish(call.planned.call, result, now_ms);
             queue.deliver(relay, settled);
         }
-        self.pump(relay, &call.service);
+        self.start_calls(relay, &call.service);
     }
 }
 
 impl Queue {
+    /// Passes ended groups to the requests that wait for them, and releases results without a recipient.
     fn deliver(&mut self, relay: &Relay, settled: Settled) {
         relay.releases.add(settled.unused);
         for (group, end, handles) in settled.ended {
@@ -326,20 +345,22 @@
     }
 }
 
-/// A call that is about to be made.
+/// A call to an upstream with a batch of pieces.
 struct StageCall {
     service: Arc<str>,
-    order: PlannedCall,
+    planned: PlannedCall,
+    /// Encoded request; none if encoding failed.
     body: Option<Bytes>,
+    /// Timeout of the call, in milliseconds.
     limit_ms: u64,
-    /// Pieces that still wait in the queue.
+    /// Number of pieces left in the queue when the call was formed.
     waiting: usize,
 }
 
 impl StageCall {
-    fn new(batcher: &Batcher, service: &Arc<str>, order: PlannedCall, now_ms: u64) -> Self {
-        let mut items = Vec::with_capacity(order.pieces.len());
-        for (group, piece) in &order.pieces {
+    fn new(batcher: &Batcher, service: &Arc<str>, planned: PlannedCall, now_ms: u64) -> Self {
+        let mut items = Vec::with_capacity(planned.pieces.len());
+        for (group, piece) in &planned.pieces {
             let Some(work) = batcher.work(*group) else { continue };
             items.push(StageCallItem {
                 request_id: &work.request_id,
@@ -351,13 +372,13 @@
         }
         let body = encode_stage_call(&items);
         if let Err(error) = &body {
-            warn!(service:% = service, error:% = error; "stage call can't be encoded");
+            warn!(service:% = service, error:% = error; "failed to encode stage call");
         }
-        let expected_ms = order.expected_end_ms.saturating_sub(now_ms);
-        let limit_ms = (expected_ms * CALL_LIMIT_FACTOR).max(MIN_CALL_LIMIT_MS);
+        let expected_ms = planned.expected_end_ms.saturating_sub(now_ms);
+        let limit_ms = (expected_ms * CALL_TIMEOUT_FACTOR).max(MIN_CALL_TIMEOUT_MS);
         Self {
             service: service.clone(),
-            order,
+            planned,
             body: body.ok(),
             limit_ms,
             waiting: batcher.waiting(),
@@ -365,19 +386,20 @@
     }
 }
 
+/// Makes a call, logs it and reports its result to the queue.
 async fn make_call(relay: Arc<Relay>, call: StageCall) {
     let labels = ServiceLabels { service: call.service.to_string() };
     relay.metrics.stage_calls.get_or_create(&labels).inc();
-    relay.metrics.stage_pieces.get_or_create(&labels).inc_by(call.order.pieces.len() as u64);
+    relay.metrics.stage_pieces.get_or_create(&labels).inc_by(call.planned.pieces.len() as u64);
     let started_ms = relay.now_ms();
     let limit = Duration::from_millis(call.limit_ms);
     let sending = async {
         let mut sending = std::pin::pin!(send_call(&relay, &call));
         tokio::select! {
             result = &mut sending => return result,
-            () = tokio::time::sleep(Duration::from_millis(READ_MS)) => {}
+            () = tokio::time::sleep(Duration::from_millis(INPUT_READ_MS)) => {}
         }
-        relay.stages.let_inputs_go(&relay, &call);
+        relay.stages.release_read_inputs(&relay, &call);
         sending.await
     };
     let result = match tokio::time::timeout(limit, sending).await {
@@ -394,11 +416,11 @@
     };
     info!(
         service:% = call.service,
-        upstream:? = call.order.upstream,
-        pieces = call.order.pieces.len(),
+        upstream:? = call.planned.upstream,
+        pieces = call.planned.pieces.len(),
         waiting = call.waiting,
         took_ms = relay.now_ms().saturating_sub(started_ms),
-        expected_ms = call.order.expected_end_ms.saturating_sub(started_ms),
+        expected_ms = call.planned.expected_end_ms.saturating_sub(started_ms),
         outcome = outcome;
         "stage call"
     );
@@ -407,10 +429,10 @@
 
 async fn send_call(relay: &Arc<Relay>, call: &StageCall) -> CallResult {
     let Some(body) = call.body.clone() else { return CallResult::Failed };
-    let Some(mut attempt) = Attempt::begin(relay, call.order.upstream) else {
+    let Some(mut attempt) = Attempt::begin(relay, call.planned.upstream) else {
         return CallResult::Full;
     };
-    let (status, answer, body) = match attempt.post(STAGE_PATH, body).await {
+    let (status, meta, body) = match attempt.post(STAGE_PATH, body).await {
         Ok(answered) => answered,
         Err(error) => {
             log_failure(&attempt, &error);
@@ -418,13 +440,13 @@
             return CallResult::Failed;
         }
     };
-    if answer.is_not_run {
-        attempt.finish(&answer);
+    if meta.is_not_run {
+        attempt.finish(&meta);
         return CallResult::Full;
     }
-    let detail = match decode_stage_results(&body, call.order.pieces.len()) {
+    let detail = match decode_stage_results(&body, call.planned.pieces.len()) {
         Ok(results) if status.is_success() => {
-            attempt.finish(&answer);
+            attempt.finish(&meta);
             return CallResult::Answered(results);
         }
         Ok(_) => format!("status {status}"),
@@ -444,14 +466,14 @@
     );
 }
 
-fn usable_engines(relay: &Relay, service: &str, now_ms: u64) -> Vec<AvailableUpstream> {
+fn available_upstreams(relay: &Relay, service: &str, now_ms: u64) -> Vec<AvailableUpstream> {
     let upstreams = relay.upstreams();
-    let mut engines = Vec::new();
+    let mut available = Vec::new();
     for (key, upstream) in upstreams.of_service(service) {
         if upstreams.is_usable(key, now_ms) {
-            engines
+            available
                 .push(AvailableUpstream { key, data_centre: upstream.record.data_centre.clone() });
         }
     }
-    engines
+    available
 }
--- a/crates/entry/src/relay/stream.rs
+++ b/crates/entry/src/relay/stream.rs
@@ -1,8 +1,8 @@
-//! Relays a stream of events from a model upstream to a caller.
+//! Forwards an event stream from a model upstream to a caller.
 //!
-//! Events are passed on as they arrive. A stream that may be resumed goes on at another upstream
-//! when its connection breaks, after the last whole event that was passed on; any other ends broken
-//! off, which the caller sees.
+//! Events are forwarded as they arrive. When its connection breaks, a resumable stream continues at
+//! another upstream after the last complete event that was forwarded; any other stream is aborted,
+//! which the caller can detect.
 
 use std::{sync::Arc, time::Duration};
 
@@ -14,7 +14,7 @@
     body::{Frame, Incoming},
 };
 use log::{info, warn};
-use yuccatrail_adapter::{UpstreamAnswer, passed_on};
+use yuccatrail_adapter::{ResponseMeta, forwarded_headers};
 use yuccatrail_core::{
     event_stream::{EventFramer, EventId},
     stage_graph::ResultHandle,
@@ -22,22 +22,22 @@
 };
 
 use crate::relay::{
-    attempt::{Attempt, AttemptError, check_signature},
-    crashes::note_loss,
-    model::wanted,
+    attempt::{Attempt, AttemptError, check_seal},
+    crashes::check_for_crash,
+    model::selection_criteria,
     plain::take_retry,
     release::HeldResults,
-    request::{AnswerBody, BrokenOff, CallerRequest, Refusal},
+    request::{CallerRequest, Refusal, ResponseAborted, ResponseBody},
     sabotage::Mechanism,
-    state::{InProgress, Relay},
+    state::{InProgressGuard, Relay},
 };
 
-/// Upstreams that are tried before a request is refused.
+/// Number of upstreams to try before a request is refused.
 const MAX_TRIES: usize = 6;
-/// Wait that is proposed when no upstream takes the request, in milliseconds.
+/// Retry-After when no upstream accepts the request, in milliseconds.
 const BUSY_RETRY_MS: u64 = 300;
 
-/// What a model upstream is asked for.
+/// A call to a model upstream, repeatable at another one.
 #[derive(Clone)]
 pub(crate) struct ModelCall {
     pub(crate) relay: Arc<Relay>,
@@ -48,64 +48,64 @@
 
 /// Why no stream was opened.
 pub(crate) enum OpenError {
-    /// A result that the request reads no longer exists; the request has not run.
+    /// A stage result that the model reads no longer exists; the request has not run.
     InputGone,
-    /// The request gets no answer of an upstream.
+    /// No upstream accepted the request.
     Refused(Refusal),
 }
 
-/// A stream whose first bytes have arrived, or an answer that is no stream.
-pub(crate) struct Opened {
-    relaying: Relaying,
+/// A response whose first bytes have arrived; error responses are forwarded the same way.
+pub(crate) struct OpenedStream {
+    relayed: RelayedStream,
     status: StatusCode,
     headers: HeaderMap,
 }
 
-/// A stream between two events.
-struct Relaying {
+/// State of a stream that is being forwarded.
+struct RelayedStream {
     call: ModelCall,
     source: Option<Source>,
-    first: Option<Bytes>,
-    cutter: EventFramer,
+    first_bytes: Option<Bytes>,
+    framer: EventFramer,
     last_id: Option<EventId>,
     tried: Vec<UpstreamKey>,
     runs: u32,
     events_bytes: u64,
     held: Option<HeldResults>,
-    in_progress: Option<InProgress>,
+    in_progress: Option<InProgressGuard>,
 }
 
-/// The upstream's side of a stream.
+/// The connection to the upstream that currently produces the stream.
 struct Source {
     attempt: Attempt,
-    answer: UpstreamAnswer,
+    meta: ResponseMeta,
     body: Incoming,
 }
 
-/// A stream that has begun.
-struct OpenSource {
+/// A source with its response status, headers and first bytes.
+struct OpenedSource {
     source: Source,
     status: StatusCode,
     headers: HeaderMap,
-    first: Option<Bytes>,
+    first_bytes: Option<Bytes>,
 }
 
-/// What one attempt to open a stream brought.
-enum Tried {
-    Open(Box<OpenSource>),
+/// Result of one attempt to open a stream.
+enum OpenOutcome {
+    Open(Box<OpenedSource>),
     NotRun,
     InputGone,
     Lost,
 }
 
-/// Opens the stream at some upstream and waits for its first bytes.
-pub(crate) async fn open(call: ModelCall) -> Result<Opened, OpenError> {
+/// Opens the stream at an upstream and waits for its first bytes.
+pub(crate) async fn open(call: ModelCall) -> Result<OpenedStream, OpenError> {
     let last_id = call.request.head.last_event_id;
-    let mut relaying = Relaying {
+    let mut relayed = RelayedStream {
         call,
         source: None,
-        first: None,
-        cutter: EventFramer::new(),
+        first_bytes: None,
+        framer: EventFramer::new(),
         last_id,
         tried: Vec::new(),
         runs: 0,
@@ -113,24 +113,24 @@
         held: None,
         in_progress: None,
     };
-    let (status, headers) = relaying.connect().await?;
-    Ok(Opened { relaying, status, headers })
+    let (status, headers) = relayed.connect().await?;
+    Ok(OpenedStream { relayed, status, headers })
 }
 
-impl Opened {
-    /// Builds the answer, which holds the results until the upstream has read them.
+impl OpenedStream {
+    /// Builds the response and releases the stage results, which the upstream has read by now.
     pub(crate) fn into_response(
         mut self,
         mut held: HeldResults,
-        in_progress: InProgress,
-    ) -> Response<AnswerBody> {
-        // The upstream has read its inputs before it makes the first event.
+        in_progress: InProgressGuard,
+    ) -> Response<ResponseBody> {
+        // An upstream reads its inputs before it generates the first event.
         held.release_all();
-        self.relaying.held = Some(held);
-        self.relaying.in_progress = Some(in_progress);
-        let frames = unfold(self.relaying, |mut relaying| async move {
-            let frame = relaying.next().await?;
-            Some((frame.map(Frame::data), relaying))
+        self.relayed.held = Some(held);
+        self.relayed.in_progress = Some(in_progress);
+        let frames = unfold(self.relayed, |mut relayed| async move {
+            let frame = relayed.next().await?;
+            Some((frame.map(Frame::data), relayed))
         });
         let mut response = Response::new(StreamBody::new(frames).boxed_unsync());
         *response.status_mut() = self.status;
@@ -139,37 +139,37 @@
     }
 }
 
-impl Relaying {
-    /// Sends the request to one upstream after another until one begins to answer.
+impl RelayedStream {
+    /// Sends the request to one upstream after another until one begins to respond.
     async fn connect(&mut self) -> Result<(StatusCode, HeaderMap), OpenError> {
         let (relay, request) = (self.call.relay.clone(), self.call.request.clone());
-        let max_runs = request.admission.route.max_runs();
-        let mut arrivals = self.runs;
+        let max_runs = request.authorized.route.max_runs();
+        let mut reached = self.runs;
         while self.tried.len() < MAX_TRIES && self.runs < max_runs {
-            relay.until_fresh().await;
-            let Some(attempt) = self.next_upstream() else { break };
-            if arrivals > 0 && !take_retry(&relay, &request) {
+            relay.wait_until_fresh().await;
+            let Some(attempt) = self.begin_next_attempt() else { break };
+            if reached > 0 && !take_retry(&relay, &request) {
                 break;
             }
             self.tried.push(attempt.key);
             let upstream = attempt.record.clone();
             match self.try_open(attempt).await {
-                Ok(Tried::Open(open)) => {
+                Ok(OpenOutcome::Open(open)) => {
                     self.runs += 1;
                     self.source = Some(open.source);
-                    self.first = open.first;
+                    self.first_bytes = open.first_bytes;
                     return Ok((open.status, open.headers));
                 }
-                Ok(Tried::NotRun) => arrivals += 1,
-                Ok(Tried::InputGone) => return Err(OpenError::InputGone),
-                Ok(Tried::Lost) => (self.runs, arrivals) = (self.runs + 1, arrivals + 1),
+                Ok(OpenOutcome::NotRun) => reached += 1,
+                Ok(OpenOutcome::InputGone) => return Err(OpenError::InputGone),
+                Ok(OpenOutcome::Lost) => (self.runs, reached) = (self.runs + 1, reached + 1),
                 Err(error) => {
                     warn!(id:% = request.id, error:% = error; "attempt failed");
                     if matches!(error, AttemptError::Lost(_)) {
-                        note_loss(&relay, &request, &upstream);
+                        check_for_crash(&relay, &request, &upstream);
                     }
                     if !matches!(error, AttemptError::Unreachable(_)) {
-                        (self.runs, arrivals) = (self.runs + 1, arrivals + 1);
+                        (self.runs, reached) = (self.runs + 1, reached + 1);
                     }
                 }
             }
@@ -178,11 +178,11 @@
         Err(OpenError::Refused(Refusal::busy(reason, BUSY_RETRY_MS)))
     }
 
-    fn next_upstream(&self) -> Option<Attempt> {
+    fn begin_next_attempt(&self) -> Option<Attempt> {
         let (relay, request) = (&self.call.relay, &self.call.request);
-        let wanted = wanted(relay, request, self.call.affinity.as_ref(), &self.tried);
+        let criteria = selection_criteria(relay, request, self.call.affinity.as_ref(), &self.tried);
         let now_ms = relay.now_ms();
-        let key = relay.upstreams().choose(&wanted, now_ms)?;
+        let key = relay.upstreams().choose(&criteria, now_ms)?;
         let attempt = Attempt::begin(relay, key)?;
         info!(
             id:% = request.id,
@@ -196,29 +196,31 @@
         Some(attempt)
     }
 
-    async fn try_open(&self, mut attempt: Attempt) -> Result<Tried, AttemptError> {
+    async fn try_open(&self, mut attempt: Attempt) -> Result<OpenOutcome, AttemptError> {
         let (relay, request) = (&self.call.relay, &self.call.request);
         let inputs = (!self.call.inputs.is_empty()).then(|| self.call.inputs.join(","));
         let now_ms = relay.now_ms();
-        let outgoing = request.outgoing(&attempt.record, now_ms, inputs, self.last_id);
-        let (response, answer) = request.send(&mut attempt, &outgoing).await?;
+        let upstream_request =
+            request.upstream_request(&attempt.record, now_ms, inputs, self.last_id);
+        let (response, meta) = request.send(&mut attempt, &upstream_request).await?;
         let (parts, mut body) = response.into_parts();
-        if answer.is_not_run {
-            // Only a whole answer leaves the connection usable.
+        if meta.is_not_run {
+            // The connection can be reused only after a complete response.
             let is_whole = body.collect().await.is_ok();
-            let tried = if answer.is_input_gone { Tried::InputGone } else { Tried::NotRun };
+            let outcome =
+                if meta.is_input_gone { OpenOutcome::InputGone } else { OpenOutcome::NotRun };
             if is_whole {
-                attempt.finish(&answer);
+                attempt.finish(&meta);
             }
-            return Ok(tried);
+            return Ok(outcome);
         }
-        check_signature(parts.status, &answer)?;
-        if parts.status.is_server_error() && self.call.request.admission.route.is_repeatable() {
+        check_seal(parts.status, &meta)?;
+        if parts.status.is_server_error() && self.call.request.authorized.route.is_repeatable() {
             warn!(id:% = request.id, status = parts.status.as_u16(); "upstream failed");
             attempt.fail();
-            return Ok(Tried::Lost);
+            return Ok(OpenOutcome::Lost);
         }
-        let first = match body.frame().await {
+        let first_bytes = match body.frame().await {
             Some(Ok(frame)) => frame.into_data().ok(),
             Some(Err(error)) => {
                 attempt.fail();
@@ -226,17 +228,17 @@
             }
             None => None,
         };
-        let headers = passed_on(&parts.headers);
-        let source = Source { attempt, answer, body };
-        let open = OpenSource { source, status: parts.status, headers, first };
-        Ok(Tried::Open(Box::new(open)))
+        let headers = forwarded_headers(&parts.headers);
+        let source = Source { attempt, meta, body };
+        let open = OpenedSource { source, status: parts.status, headers, first_bytes };
+        Ok(OpenOutcome::Open(Box::new(open)))
     }
 
-    /// Returns the next bytes for the caller; none at the end of the stream.
-    async fn next(&mut self) -> Option<Result<Bytes, BrokenOff>> {
+    /// Returns the next bytes to forward; none at the end of the stream.
+    async fn next(&mut self) -> Option<Result<Bytes, ResponseAborted>> {
         loop {
-            if let Some(bytes) = self.first.take()
-                && let Some(bytes) = self.take_in(&bytes)
+            if let Some(bytes) = self.first_bytes.take()
+                && let Some(bytes) = self.accept_bytes(&bytes)
             {
                 return Some(Ok(bytes));
             }
@@ -247,33 +249,33 @@
             match frame {
                 Ok(Some(Ok(frame))) => {
                     let Ok(bytes) = frame.into_data() else { continue };
-                    if let Some(bytes) = self.take_in(&bytes) {
+                    if let Some(bytes) = self.accept_bytes(&bytes) {
                         return Some(Ok(bytes));
                     }
                 }
-                Ok(None) if self.cutter.is_empty() => {
+                Ok(None) if self.framer.is_empty() => {
                     self.finish();
                     return None;
                 }
                 Ok(None) => {
-                    if let Err(error) = self.go_on("it ended inside an event").await {
+                    if let Err(error) = self.resume("stream ended inside an event").await {
                         return Some(Err(error));
                     }
                 }
                 Ok(Some(Err(error))) => {
-                    if let Err(error) = self.go_on(&error.to_string()).await {
+                    if let Err(error) = self.resume(&error.to_string()).await {
                         return Some(Err(error));
                     }
                 }
-                Err(_) => return Some(Err(self.break_off("time_over"))),
+                Err(_) => return Some(Err(self.abort("time_over"))),
             }
         }
     }
 
-    /// Takes in bytes and returns what may be passed on.
-    fn take_in(&mut self, bytes: &Bytes) -> Option<Bytes> {
-        let passed = if self.call.request.admission.route.is_resumable {
-            let events = self.cutter.push(bytes)?;
+    /// Processes received bytes and returns those to forward; for resumable streams only whole events.
+    fn accept_bytes(&mut self, bytes: &Bytes) -> Option<Bytes> {
+        let passed = if self.call.request.authorized.route.is_resumable {
+            let events = self.framer.push(bytes)?;
             self.last_id = events.last_id.or(self.last_id);
             events.bytes
         } else {
@@ -284,7 +286,7 @@
     }
 
     /// Continues a broken stream at another upstream.
-    async fn go_on(&mut self, detail: &str) -> Result<(), BrokenOff> {
+    async fn resume(&mut self, detail: &str) -> Result<(), ResponseAborted> {
         let request = self.call.request.clone();
         if let Some(source) = self.source.take() {
             warn!(
@@ -292,37 +294,37 @@
                 upstream:% = source.attempt.record.id,
                 last_event_id = self.last_id.unwrap_or(0),
                 detail = detail;
-                "stream broke"
+                "stream interrupted"
             );
-            note_loss(&self.call.relay, &request, &source.attempt.record);
+            check_for_crash(&self.call.relay, &request, &source.attempt.record);
             source.attempt.fail();
         }
-        if !request.admission.route.is_resumable {
-            return Err(self.break_off("upstream_lost"));
+        if !request.authorized.route.is_resumable {
+            return Err(self.abort("upstream_lost"));
         }
-        self.cutter = EventFramer::new();
+        self.framer = EventFramer::new();
         if Mechanism::ResumePosition.is_off() {
             self.last_id = None;
         }
         let limit = Duration::from_millis(request.remaining_ms(self.call.relay.now_ms()));
         match tokio::time::timeout(limit, self.connect()).await {
             Ok(Ok((status, _))) if status.is_success() => {
-                info!(id:% = request.id, after_event = self.last_id.unwrap_or(0); "stream goes on");
+                info!(id:% = request.id, after_event = self.last_id.unwrap_or(0); "stream resumed");
                 Ok(())
             }
-            _ => Err(self.break_off("not_resumed")),
+            _ => Err(self.abort("not_resumed")),
         }
     }
 
-    fn break_off(&mut self, reason: &'static str) -> BrokenOff {
+    fn abort(&mut self, reason: &'static str) -> ResponseAborted {
         self.source = None;
         self.log_end(reason);
-        BrokenOff
+        ResponseAborted
     }
 
     fn finish(&mut self) {
         if let Some(source) = self.source.take() {
-            source.attempt.finish(&source.answer);
+            source.attempt.finish(&source.meta);
         }
         let relay = &self.call.relay;
         relay.crashes.note_completed(&self.call.request, relay.now_ms());
@@ -333,7 +335,7 @@
         let request = &self.call.request;
         info!(
             id:% = request.id,
-            route:% = request.admission.route.name,
+            route:% = request.authorized.route.name,
             end = end,
             bytes = self.events_bytes,
             runs = self.runs,
