--- a/crates/core/tests/at_most_once_fuzz.rs
+++ b/crates/core/tests/at_most_once_fuzz.rs
@@ -57,9 +57,9 @@
     DuplicateNotRun,
 }
 
-struct Machine;
+struct Steps;
 
-impl ReferenceStateMachine for Machine {
+impl ReferenceStateMachine for Steps {
     type State = ();
     type Transition = Step;
 
@@ -127,7 +127,7 @@
     reply: Option<ClaimReply>,
 }
 
-struct World {
+struct Simulation {
     sabotage: Option<Sabotage>,
     claim: Option<(ClaimRecord, u64)>,
     late_writes: Vec<ClaimAction>,
@@ -152,7 +152,7 @@
     matches!(reply, ClaimReply::Refused(it) if it.execution == Execution::NotRun)
 }
 
-impl World {
+impl Simulation {
     fn new(sabotage: Option<Sabotage>) -> Self {
         let (claim, late_writes, copies) = (None, Vec::new(), Vec::new());
         let (now_ms, runs, ran_other_body) = (0, 0, false);
@@ -390,10 +390,10 @@
 }
 
 fn fuzz(sabotage: Option<Sabotage>, completes: bool) -> Result<(), String> {
-    fuzz_support::run::<Machine>(CASES, MAX_STEPS, |steps| {
-        let mut world = World::new(sabotage);
-        steps.iter().try_for_each(|it| world.step(it))?;
-        if completes { world.run_to_completion() } else { Ok(()) }
+    fuzz_support::run::<Steps>(CASES, MAX_STEPS, |steps| {
+        let mut simulation = Simulation::new(sabotage);
+        steps.iter().try_for_each(|it| simulation.step(it))?;
+        if completes { simulation.run_to_completion() } else { Ok(()) }
     })
 }
 
--- a/crates/core/tests/attempt_fuzz.rs
+++ b/crates/core/tests/attempt_fuzz.rs
@@ -61,9 +61,9 @@
     },
 }
 
-struct Machine;
+struct Steps;
 
-impl ReferenceStateMachine for Machine {
+impl ReferenceStateMachine for Steps {
     type State = ();
     type Transition = Step;
 
@@ -109,7 +109,7 @@
     reported_not_run: bool,
 }
 
-struct World {
+struct Simulation {
     ledger: AttemptLedger,
     observed: Vec<Observed>,
     now_ms: u64,
@@ -125,7 +125,7 @@
     Bytes::from(vec![attempt as u8, sequence as u8])
 }
 
-impl World {
+impl Simulation {
     fn new(sabotage: Option<Sabotage>) -> Self {
         let ledger = fuzz_support::construct!(sabotage, AttemptLedger(LIMITS));
         Self { ledger, observed: vec![Observed::default(); ATTEMPTS], now_ms: 0 }
@@ -302,10 +302,10 @@
 }
 
 fn fuzz(sabotage: Option<Sabotage>) -> Result<(), String> {
-    fuzz_support::run::<Machine>(CASES, MAX_STEPS, |steps| {
-        let mut world = World::new(sabotage);
-        steps.iter().try_for_each(|it| world.step(it))?;
-        world.drain()
+    fuzz_support::run::<Steps>(CASES, MAX_STEPS, |steps| {
+        let mut simulation = Simulation::new(sabotage);
+        steps.iter().try_for_each(|it| simulation.step(it))?;
+        simulation.drain()
     })
 }
 
--- a/crates/core/tests/crashes_fuzz.rs
+++ b/crates/core/tests/crashes_fuzz.rs
@@ -127,11 +127,11 @@
     type Mechanism = CrashSabotage;
     type Step = Step;
 
-    fn new(off: Option<CrashSabotage>) -> Self {
+    fn new(disabled: Option<CrashSabotage>) -> Self {
         let mut entries = Vec::new();
         for _ in 0..ENTRIES {
             let mut tracker = CrashTracker::new();
-            harness::sabotage!(tracker, off);
+            harness::sabotage!(tracker, disabled);
             entries.push(Entry { tracker, expected: Default::default() });
         }
         let upstreams =
@@ -185,7 +185,7 @@
 fn each_disabled_mechanism_is_detected() {
     use CrashSabotage::{EarlierCompletion, LaterCompletion, Merge};
 
-    for off in [Merge, EarlierCompletion, LaterCompletion] {
-        harness::assert_detected::<Crashes>(FUZZ, off);
+    for disabled in [Merge, EarlierCompletion, LaterCompletion] {
+        harness::assert_detected::<Crashes>(FUZZ, disabled);
     }
 }
--- a/crates/core/tests/quarantine_fuzz.rs
+++ b/crates/core/tests/quarantine_fuzz.rs
@@ -35,9 +35,9 @@
     Advance { ms: u64 },
 }
 
-struct Machine;
+struct Steps;
 
-impl ReferenceStateMachine for Machine {
+impl ReferenceStateMachine for Steps {
     type State = ();
     type Transition = Step;
 
@@ -68,7 +68,7 @@
 }
 
 /// State of all processes and upstreams; entries precede agents in the lists of processes.
-struct World {
+struct Simulation {
     processes: Vec<Quarantine>,
     trackers: Vec<SuspectTracker>,
     upstreams: Vec<Vec<Running>>,
@@ -92,7 +92,7 @@
     Incarnation(agent as u64)
 }
 
-impl World {
+impl Simulation {
     fn new(sabotage: Option<Sabotage>) -> Self {
         let quarantine = fuzz_support::construct!(sabotage, Quarantine(LIMITS));
         Self {
@@ -293,9 +293,9 @@
 }
 
 fn fuzz(sabotage: Option<Sabotage>) -> Result<(), String> {
-    fuzz_support::run::<Machine>(CASES, MAX_STEPS, |steps| {
-        let mut world = World::new(sabotage);
-        steps.iter().try_for_each(|it| world.step(it))
+    fuzz_support::run::<Steps>(CASES, MAX_STEPS, |steps| {
+        let mut simulation = Simulation::new(sabotage);
+        steps.iter().try_for_each(|it| simulation.step(it))
     })
 }
 
