--- a/crates/core/src/upstreams/directory.rs
+++ b/crates/core/src/upstreams/directory.rs
@@ -1,4 +1,4 @@
-//! The set of upstreams, kept up to date from the platform's list and from the ends of calls.
+//! Set of upstreams, kept up to date from the platform's list and from the results of calls.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -12,41 +12,41 @@
 /// Settings of [`Upstreams`].
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpstreamsSettings {
-    /// Time after the platform's return within which missing upstreams are listed again, in
-    /// milliseconds; the users' letter states about two seconds.
-    pub lapse_grace_ms: u64,
-    /// First time for which an unreachable upstream is left alone, in milliseconds; doubles.
-    pub down_first_ms: u64,
-    /// Longest time for which an unreachable upstream is left alone, in milliseconds.
-    pub down_max_ms: u64,
-    /// Time in which a failure loses half of its weight, in milliseconds.
+    /// Time after a platform outage for which upstreams that are missing from the list are kept, in
+    /// milliseconds. They are listed again within about two seconds, as the users state.
+    pub removal_grace_ms: u64,
+    /// Backoff after a failed connection, in milliseconds; doubles with each consecutive failure.
+    pub initial_backoff_ms: u64,
+    /// Longest backoff after failed connections, in milliseconds.
+    pub max_backoff_ms: u64,
+    /// Half-life of a failure's weight, in milliseconds.
     pub failure_half_life_ms: f64,
-    /// Part of a new latency in the moving average.
+    /// Weight of a new latency in the moving average.
     pub latency_weight: f64,
 }
 
 impl Default for UpstreamsSettings {
     fn default() -> Self {
         Self {
-            lapse_grace_ms: 2_000,
-            down_first_ms: 200,
-            down_max_ms: 2_000,
+            removal_grace_ms: 2_000,
+            initial_backoff_ms: 200,
+            max_backoff_ms: 2_000,
             failure_half_life_ms: 3_000.0,
             latency_weight: 0.3,
         }
     }
 }
 
-/// One update of the platform's list.
+/// Update of the list of upstreams.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ListUpdate {
-    /// All upstreams that are listed.
+    /// All upstreams that the platform lists.
     Snapshot(Vec<UpstreamRecord>),
-    /// All upstreams that another entry knows.
+    /// All upstreams that another entry knows, received from it.
     FromPeer(Vec<UpstreamRecord>),
-    /// An upstream was listed or its record changed.
+    /// An upstream was added to the list, or its record changed.
     Listed(UpstreamRecord),
-    /// An upstream is no longer listed.
+    /// An upstream was removed from the list.
     Unlisted {
         /// Identifier of the upstream.
         id: String,
@@ -63,22 +63,23 @@
     by_id: FastMap<String, UpstreamKey>,
     pub(crate) by_service: FastMap<Arc<str>, Vec<UpstreamKey>>,
     evacuated: FastSet<String>,
-    /// Time for which an upstream of a service is cold after its start, in milliseconds.
+    /// For each service, the time for which an upstream is cold after its start, in milliseconds, and
+    /// the requests a second that a cold upstream tolerates; 0 if it needs no limit.
     cold_starts: FastMap<Arc<str>, (u64, f64)>,
     entries: Vec<String>,
     own_name: String,
-    /// Whether the other entries are known; without them a cold upstream gets nothing.
+    /// Whether the other entries are known; until then, cold upstreams with a limit receive no calls.
     knows_entries: bool,
-    lapse_grace_until_ms: u64,
-    /// Whether a list has arrived, from the platform or from another entry.
+    removal_grace_until_ms: u64,
+    /// Whether a list has been received, from the platform or from another entry.
     has_list: bool,
-    /// Whether the platform's own list has arrived.
+    /// Whether a list has been received from the platform itself.
     has_platform_list: bool,
     revisions: ListRevisions,
 }
 
 impl Upstreams {
-    /// Creates an empty set for the entry `own_name`.
+    /// Creates an empty set for the entry named `own_name`.
     pub fn new(settings: UpstreamsSettings, own_name: &str) -> Self {
         Self {
             settings,
@@ -88,37 +89,37 @@
         }
     }
 
-    /// Tells whether a list has arrived.
+    /// Tells whether a list has been received, from the platform or from another entry.
     pub fn has_list(&self) -> bool {
         self.has_list
     }
 
-    /// Tells whether the platform's own list has arrived.
+    /// Tells whether a list has been received from the platform itself.
     pub fn has_platform_list(&self) -> bool {
         self.has_platform_list
     }
 
-    /// Returns the names of the entries that share the limits; none before they are known.
+    /// Returns the names of all entries, which share the limits; none before they are known.
     pub(crate) fn known_entries(&self) -> Option<&[String]> {
         self.knows_entries.then_some(self.entries.as_slice())
     }
 
-    /// Returns the revisions of the lists in force.
+    /// Returns the revisions of the lists in use.
     pub fn revisions(&self) -> ListRevisions {
         self.revisions
     }
 
-    /// Notes the revision of the list of upstreams that is in force.
+    /// Sets the revision of the list of upstreams in use.
     pub fn set_upstreams_revision(&mut self, revision: u64) {
         self.revisions.upstreams = revision;
     }
 
-    /// Notes the revision of the list of data centres that is in force.
+    /// Sets the revision of the list of evacuated data centres in use.
     pub fn set_evacuations_revision(&mut self, revision: u64) {
         self.revisions.evacuations = revision;
     }
 
-    /// Returns an upstream, unless it is gone.
+    /// Returns an upstream, unless it has been removed.
     pub fn get(&self, key: UpstreamKey) -> Option<&Upstream> {
         self.all.get(key)
     }
@@ -129,17 +130,17 @@
         keys.iter().filter_map(|it| Some((*it, self.all.get(*it)?)))
     }
 
-    /// Returns the upstream that has an address.
+    /// Returns the upstream with the given address.
     pub fn at_address(&self, address: SocketAddr) -> Option<UpstreamKey> {
         self.all.iter().find(|(_, it)| it.record.address == address).map(|(key, _)| key)
     }
 
-    /// Returns the data centre of the upstream that has an address.
+    /// Returns the data centre of the upstream with the given address.
     pub fn data_centre_at(&self, address: SocketAddr) -> Option<&Arc<str>> {
         Some(&self.get(self.at_address(address)?)?.record.data_centre)
     }
 
-    /// Returns the service of the upstream that has an address.
+    /// Returns the service of the upstream with the given address.
     pub fn service_at(&self, address: SocketAddr) -> Option<&Arc<str>> {
         Some(&self.get(self.at_address(address)?)?.record.service)
     }
@@ -149,17 +150,18 @@
         self.all.len()
     }
 
-    /// Tells whether no upstream is known.
+    /// Tells whether there are no upstreams.
     pub fn is_empty(&self) -> bool {
         self.all.is_empty()
     }
 
-    /// Sets the cold times and cold limits of the services.
+    /// Sets, for each service, the time for which an upstream is cold after its start, in milliseconds,
+    /// and the requests a second that a cold upstream tolerates.
     pub fn set_cold_starts(&mut self, cold_starts: FastMap<Arc<str>, (u64, f64)>) {
         self.cold_starts = cold_starts;
     }
 
-    /// Sets the names of the entries that share the limits; the own name need not be among them.
+    /// Sets the names of the entries that share the limits; this entry's own name is added.
     pub fn set_entries(&mut self, mut entries: Vec<String>) {
         self.knows_entries = true;
         entries.push(self.own_name.clone());
@@ -176,7 +178,7 @@
         self.entries.len()
     }
 
-    /// Takes in an update of the platform's list.
+    /// Applies an update of the list of upstreams.
     pub fn update(&mut self, update: ListUpdate, now_ms: u64) {
         match update {
             ListUpdate::Snapshot(records) => {
@@ -184,27 +186,29 @@
                 self.replace_all(records, now_ms);
             }
             ListUpdate::FromPeer(records) => self.replace_all(records, now_ms),
-            ListUpdate::Listed(record) => self.list(record, now_ms, self.has_list),
+            ListUpdate::Listed(record) => self.upsert(record, now_ms, self.has_list),
             ListUpdate::Unlisted { id } => self.unlist(&id, now_ms),
             ListUpdate::PlatformRecovered => {
-                self.lapse_grace_until_ms = now_ms + self.settings.lapse_grace_ms;
+                self.removal_grace_until_ms = now_ms + self.settings.removal_grace_ms;
             }
         }
     }
 
-    /// Removes upstreams that are still missing after the grace time.
+    /// Removes upstreams that are still missing from the list after the grace period.
     pub fn expire(&mut self, now_ms: u64) {
-        let is_gone = |it: &Upstream| it.lapses_at_ms.is_some_and(|at_ms| at_ms <= now_ms);
-        let gone: Vec<UpstreamKey> =
-            self.all.iter().filter(|(_, it)| is_gone(it)).map(|(key, _)| key).collect();
-        for key in gone {
-            self.forget(key);
+        let is_due = |it: &Upstream| it.remove_at_ms.is_some_and(|at_ms| at_ms <= now_ms);
+        let due: Vec<UpstreamKey> =
+            self.all.iter().filter(|(_, it)| is_due(it)).map(|(key, _)| key).collect();
+        for key in due {
+            self.remove(key);
         }
     }
 
-    /// Sets whether a data centre receives no work; returns whether that is a change.
+    /// Sets whether a data centre is evacuated, so that it receives no work; returns whether that
+    /// changed.
     ///
-    /// Its upstreams may come back cold, and their records may not say so yet.
+    /// After an evacuation its upstreams are treated as cold, since they may have restarted before their
+    /// records say so.
     pub fn set_evacuated(&mut self, data_centre: &str, is_evacuated: bool, now_ms: u64) -> bool {
         if is_evacuated {
             return self.evacuated.insert(data_centre.to_owned());
@@ -241,12 +245,12 @@
             return true;
         }
         match self.cold_limit(upstream) {
-            Some(limit) => upstream.cold_share.has_room(limit, now_ms),
+            Some(limit) => upstream.cold_share.has_token(limit, now_ms),
             None => true,
         }
     }
 
-    /// Counts a call that is sent to an upstream now.
+    /// Counts a call that is about to be sent to an upstream.
     ///
     /// Returns whether it may be sent; the state may have changed since the upstream was chosen.
     pub fn begin(&mut self, key: UpstreamKey, now_ms: u64) -> bool {
@@ -257,32 +261,33 @@
         let limit = if upstream.is_cold(now_ms) { self.cold_limit(upstream) } else { None };
         let Some(upstream) = self.all.get_mut(key) else { return false };
         if let Some(limit) = limit {
-            upstream.cold_share.take(limit, now_ms);
+            upstream.cold_share.take_token(limit, now_ms);
         }
         upstream.in_flight += 1;
         true
     }
 
-    /// Notes the end of a call that [`begin`](Self::begin) counted.
+    /// Applies the end of a call that [`begin`](Self::begin) counted.
     pub fn end(&mut self, key: UpstreamKey, end: CallEnd, now_ms: u64) {
         let settings = self.settings;
         let Some(upstream) = self.all.get_mut(key) else { return };
         upstream.in_flight = upstream.in_flight.saturating_sub(1);
         match end {
             CallEnd::Answered { latency_ms } => {
-                upstream.refusals = 0;
-                upstream.note_latency(latency_ms, settings.latency_weight, now_ms);
+                upstream.connect_failures = 0;
+                upstream.record_latency(latency_ms, settings.latency_weight, now_ms);
             }
-            CallEnd::Shed => upstream.note_failure(0.5, settings.failure_half_life_ms, now_ms),
-            CallEnd::Failed => upstream.note_failure(1.0, settings.failure_half_life_ms, now_ms),
-            CallEnd::Replaced => upstream.down_until_ms = now_ms + settings.down_max_ms,
+            CallEnd::Shed => upstream.record_failure(0.5, settings.failure_half_life_ms, now_ms),
+            CallEnd::Failed => upstream.record_failure(1.0, settings.failure_half_life_ms, now_ms),
+            CallEnd::Replaced => upstream.down_until_ms = now_ms + settings.max_backoff_ms,
             CallEnd::Unreachable => {
-                let shift = upstream.refusals.min(8);
-                let pause_ms = (settings.down_first_ms << shift).min(settings.down_max_ms);
-                upstream.refusals += 1;
-                upstream.down_until_ms = now_ms + pause_ms;
-                upstream.note_failure(1.0, settings.failure_half_life_ms, now_ms);
-                // It may have stopped and come back cold before its record tells.
+                let shift = upstream.connect_failures.min(8);
+                let backoff_ms =
+                    (settings.initial_backoff_ms << shift).min(settings.max_backoff_ms);
+                upstream.connect_failures += 1;
+                upstream.down_until_ms = now_ms + backoff_ms;
+                upstream.record_failure(1.0, settings.failure_half_life_ms, now_ms);
+                // It may have restarted and be cold before its record says so.
                 let (cold_start_ms, per_s) =
                     cold_start(&self.cold_starts, &upstream.record.service);
                 if per_s > 0.0 {
@@ -293,14 +298,14 @@
         }
     }
 
-    /// Notes the load that an answer reports.
+    /// Records the load that an answer reports.
     pub fn observe_load(&mut self, key: UpstreamKey, load: Load, now_ms: u64) {
         if let Some(upstream) = self.all.get_mut(key) {
             upstream.load = Some((load, now_ms));
         }
     }
 
-    /// Notes that an upstream says how long it stays cold.
+    /// Records the time for which an upstream states that it stays cold.
     pub fn observe_cold(&mut self, key: UpstreamKey, remaining_ms: u64, now_ms: u64) {
         if let Some(upstream) = self.all.get_mut(key) {
             upstream.cold_until_ms = upstream.cold_until_ms.max(now_ms + remaining_ms);
@@ -323,15 +328,16 @@
         for id in missing {
             self.unlist(&id, now_ms);
         }
-        let is_known = self.has_list;
+        let has_earlier_list = self.has_list;
         self.has_list = true;
         for record in records {
-            self.list(record, now_ms, is_known);
+            self.upsert(record, now_ms, has_earlier_list);
         }
     }
 
-    /// Takes in a record; an upstream that appears while the list is known has just started.
-    fn list(&mut self, record: UpstreamRecord, now_ms: u64, is_list_known: bool) {
+    /// Adds or updates an upstream; one that appears after the first list has just started, so it is
+    /// treated as cold.
+    fn upsert(&mut self, record: UpstreamRecord, now_ms: u64, has_earlier_list: bool) {
         let known = self.by_id.get(&record.id).copied();
         if let Some(key) = known
             && let Some(upstream) = self.all.get_mut(key)
@@ -340,7 +346,7 @@
                 && upstream.record.address == record.address
                 && upstream.record.service == record.service;
             if is_same_run {
-                upstream.lapses_at_ms = None;
+                upstream.remove_at_ms = None;
                 if record.sequence < upstream.record.sequence {
                     return;
                 }
@@ -351,11 +357,11 @@
                 upstream.record = record;
                 return;
             }
-            self.forget(key);
+            self.remove(key);
         }
         let mut upstream = Upstream::new(record);
         let mut cold_ms = upstream.record.cold_remaining_ms;
-        if is_list_known {
+        if has_earlier_list {
             cold_ms = cold_ms.max(cold_start(&self.cold_starts, &upstream.record.service).0);
         }
         upstream.cold_until_ms = now_ms + cold_ms;
@@ -371,14 +377,14 @@
     fn unlist(&mut self, id: &str, now_ms: u64) {
         let Some(key) = self.by_id.get(id).copied() else { return };
         let Some(upstream) = self.all.get_mut(key) else { return };
-        if now_ms < self.lapse_grace_until_ms && !upstream.record.is_draining {
-            upstream.lapses_at_ms = Some(self.lapse_grace_until_ms);
+        if now_ms < self.removal_grace_until_ms && !upstream.record.is_draining {
+            upstream.remove_at_ms = Some(self.removal_grace_until_ms);
             return;
         }
-        self.forget(key);
+        self.remove(key);
     }
 
-    fn forget(&mut self, key: UpstreamKey) {
+    fn remove(&mut self, key: UpstreamKey) {
         let Some(upstream) = self.all.remove(key) else { return };
         self.by_id.remove(&upstream.record.id);
         if let Some(keys) = self.by_service.get_mut(&upstream.record.service) {
@@ -388,18 +394,18 @@
 }
 
 impl Upstream {
-    fn note_failure(&mut self, weight: f64, half_life_ms: f64, now_ms: u64) {
+    fn record_failure(&mut self, weight: f64, half_life_ms: f64, now_ms: u64) {
         self.failures = self.failures_at(half_life_ms, now_ms) + weight;
         self.failures_at_ms = now_ms;
     }
 
-    /// Returns the failed calls, weighed by their age.
+    /// Returns the number of failed calls, weighted by their age.
     pub(crate) fn failures_at(&self, half_life_ms: f64, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.failures_at_ms) as f64;
         self.failures * 0.5_f64.powf(age_ms / half_life_ms)
     }
 
-    fn note_latency(&mut self, latency_ms: f64, weight: f64, now_ms: u64) {
+    fn record_latency(&mut self, latency_ms: f64, weight: f64, now_ms: u64) {
         let average_ms = self.latency_ms.unwrap_or(latency_ms);
         self.latency_ms = Some(average_ms + weight * (latency_ms - average_ms));
         self.latency_at_ms = now_ms;
@@ -410,13 +416,13 @@
     cold_starts.get(service).copied().unwrap_or((0, 0.0))
 }
 
-/// Returns the position of `own` among `entries` in the order that `subject` puts them in.
+/// Returns the rank of `own` among `entries` in the rendezvous order for `subject`; 0 is the first.
 fn rank_among(entries: &[String], own: &str, subject: &str) -> usize {
     let own_weight = rendezvous_weight(own, subject);
     entries.iter().filter(|it| rendezvous_weight(it, subject) > own_weight).count()
 }
 
-/// Returns the weight of a pair in rendezvous hashing; the same in every process.
+/// Returns the weight of a candidate for a subject in rendezvous hashing; the same in every process.
 pub(crate) fn rendezvous_weight(candidate: &str, subject: &str) -> u64 {
     let digest = crate::ids::Digest::of(format!("{candidate}\0{subject}").as_bytes());
     let mut first = [0; 8];
--- a/crates/core/src/upstreams/mod.rs
+++ b/crates/core/src/upstreams/mod.rs
@@ -1,9 +1,9 @@
-//! Upstreams that an entry calls without an agent: what is known of each, and which one to call.
+//! Upstreams that an entry calls directly, without an agent: their state and the choice among them.
 //!
-//! The platform's list says which upstreams exist, leave or are cold. What calls really got goes
-//! before it: a failed connection takes an upstream out for a short time, failures and latency make
-//! others preferred. Several entries share the limits of an upstream without talking about each
-//! request: every entry keeps to its part of them.
+//! The platform's list tells which upstreams exist, are leaving or are cold. The results of calls take
+//! precedence over it: an upstream backs off for a short time after a failed connection, and failures
+//! and latency lower its preference. Several entries share the limits of an upstream without
+//! coordinating each request: every entry keeps to its share.
 
 mod platform_lists;
 mod choose;
--- a/crates/core/src/upstreams/platform_lists.rs
+++ b/crates/core/src/upstreams/platform_lists.rs
@@ -1,13 +1,13 @@
-//! What entries tell each other of the platform's lists.
+//! Exchange of the platform's lists among entries.
 //!
-//! An entry that cannot follow the platform takes newer lists from one that does. Revisions come
-//! from the platform and rise with every change, so that an older list never replaces a newer one.
+//! An entry that cannot follow the platform adopts newer lists from one that does. Revisions come
+//! from the platform and rise with every change, so an older list never replaces a newer one.
 
 use serde::{Deserialize, Serialize};
 
 use crate::upstreams::{ListUpdate, UpstreamRecord, Upstreams};
 
-/// Revisions of the platform's lists that are in force; each rises with every change.
+/// Revisions of the platform's lists that are in use; each rises with every change.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ListRevisions {
     /// Revision of the list of upstreams.
@@ -17,27 +17,28 @@
 }
 
 impl ListRevisions {
-    /// Tells whether either list is newer than the other's.
+    /// Tells whether either list is newer than the same list of `other`.
     pub fn has_newer_than(self, other: Self) -> bool {
         self.upstreams > other.upstreams || self.evacuations > other.evacuations
     }
 }
 
-/// What an entry knows from the platform.
+/// The platform's lists as one entry knows them.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformLists {
     /// Revisions of the lists.
     pub revisions: ListRevisions,
-    /// Upstreams, with the time for which each still counts as cold.
+    /// Records of the upstreams, each with the remaining time for which it is treated as cold.
     pub upstreams: Vec<UpstreamRecord>,
     /// Data centres that receive no work.
     pub evacuated: Vec<String>,
-    /// Names of the entries that share the limits.
+    /// Names of the entries that share the limits of the upstreams.
     pub entries: Vec<String>,
 }
 
 impl Upstreams {
-    /// Returns what this entry knows; none before the platform has told of upstreams and entries.
+    /// Returns the lists to send to other entries; none before this entry has received the platform's
+    /// lists of upstreams and entries.
     pub fn platform_lists(&self, now_ms: u64) -> Option<PlatformLists> {
         if !self.has_platform_list() {
             return None;
@@ -54,8 +55,8 @@
         })
     }
 
-    /// Takes over those lists of another entry that are newer than the own ones; returns the data
-    /// centres that changed, each with whether it receives no work now.
+    /// Adopts those lists of another entry that are newer than this entry's; returns the data centres
+    /// that changed, each with whether it is evacuated now.
     pub fn adopt_newer(&mut self, lists: PlatformLists, now_ms: u64) -> Vec<(String, bool)> {
         let known = self.revisions();
         if !lists.revisions.has_newer_than(known) {
@@ -74,8 +75,8 @@
         changed
     }
 
-    /// Sets the data centres that receive no work; returns those that changed, each with whether it
-    /// receives no work now.
+    /// Sets the data centres that receive no work; returns those that changed, each with whether it is
+    /// evacuated now.
     pub fn replace_evacuated(
         &mut self,
         data_centres: Vec<String>,
@@ -84,10 +85,10 @@
         let returned =
             self.evacuated().iter().filter(|it| !data_centres.contains(it)).cloned().collect();
         let mut changed = Vec::new();
-        for (names, is_out) in [(returned, false), (data_centres, true)] {
+        for (names, is_evacuated) in [(returned, false), (data_centres, true)] {
             for name in names {
-                if self.set_evacuated(&name, is_out, now_ms) {
-                    changed.push((name, is_out));
+                if self.set_evacuated(&name, is_evacuated, now_ms) {
+                    changed.push((name, is_evacuated));
                 }
             }
         }
--- a/crates/core/src/upstreams/record.rs
+++ b/crates/core/src/upstreams/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one upstream.
+//! Records and state of single upstreams.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -8,7 +8,7 @@
 use crate::upstreams::ColdShare;
 
 new_key_type! {
-    /// Names one run of an upstream; a restarted upstream gets another key.
+    /// Identifies one run of an upstream; a restarted upstream gets a new key.
     pub struct UpstreamKey;
 }
 
@@ -19,81 +19,84 @@
     pub id: String,
     /// Service that the upstream belongs to.
     pub service: Arc<str>,
-    /// Address that takes the calls.
+    /// Address that receives the calls.
     pub address: SocketAddr,
-    /// Data centre that the upstream stands in.
+    /// Data centre of the upstream.
     pub data_centre: Arc<str>,
-    /// Requests that it runs at the same time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
-    /// Whether it has announced that it leaves.
+    /// Whether it is draining: it has announced that it leaves and receives no new calls.
     pub is_draining: bool,
-    /// Time for which it stays cold, in milliseconds; 0 when it is warm.
+    /// Time for which it stays cold, in milliseconds; 0 if it is warm.
     pub cold_remaining_ms: u64,
-    /// Number of the record within one run; a lower one is older.
+    /// Sequence number of the record within one run; a lower one is older.
     pub sequence: u64,
-    /// Time of its start on its own clock; distinguishes two runs under one identifier.
+    /// Start time on its own clock, in milliseconds since the Unix epoch; distinguishes runs under the
+    /// same identifier.
     pub started_unix_ms: Option<i64>,
-    /// Models that it has loaded; empty when it does not say.
+    /// Models that it has loaded; empty if it does not state any.
     pub models: Vec<String>,
 }
 
-/// Load that an upstream reports with its answers.
+/// Load that an upstream reports with an answer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
-    /// Requests that run.
+    /// Number of running requests.
     pub running: u32,
-    /// Requests that wait.
+    /// Number of waiting requests.
     pub waiting: u32,
-    /// Requests that can run at the same time.
+    /// Number of requests that it runs concurrently.
     pub slots: u32,
 }
 
 /// How a call to an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallEnd {
-    /// A whole answer arrived after this time, in milliseconds.
+    /// A complete answer arrived.
     Answered {
         /// Time from sending to the head of the answer, in milliseconds.
         latency_ms: f64,
     },
-    /// The upstream stated that it did not run the request, because it is full.
+    /// The upstream stated that it did not run the request, because it is at capacity.
     Shed,
-    /// Another upstream has the address.
+    /// Another upstream uses the address now.
     Replaced,
     /// No connection could be opened.
     Unreachable,
     /// The connection broke, the answer was damaged, or an internal error was reported.
     Failed,
-    /// The caller gave up; says nothing about the upstream.
+    /// The call was cancelled by its caller, which does not reflect on the upstream.
     Cancelled,
 }
 
 /// One run of an upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// The platform's words.
+    /// Latest record in the platform's list.
     pub record: UpstreamRecord,
-    /// Calls of this entry in progress.
+    /// Number of this entry's calls in progress.
     pub in_flight: u32,
+    /// Last reported load, and the time of the report in milliseconds.
     pub(crate) load: Option<(Load, u64)>,
-    /// No call goes there before this time, in milliseconds.
+    /// Time before which the upstream receives no call, in milliseconds.
     pub(crate) down_until_ms: u64,
-    /// Failed connections in a row.
-    pub(crate) refusals: u32,
-    /// Failed calls, each counting half as much after the half-life.
+    /// Consecutive failed connections.
+    pub(crate) connect_failures: u32,
+    /// Failed calls, whose weights decay exponentially, as of `failures_at_ms`.
     pub(crate) failures: f64,
     pub(crate) failures_at_ms: u64,
     /// Moving average of the latency, in milliseconds; none before the first answer.
     pub(crate) latency_ms: Option<f64>,
     pub(crate) latency_at_ms: u64,
-    /// Taken for cold until this time, in milliseconds.
+    /// Time until which the upstream is treated as cold, in milliseconds.
     pub(crate) cold_until_ms: u64,
-    /// Position of this entry among all when ordered for the upstream.
+    /// Rank of this entry among all in the order for the upstream; 0 is the first.
     pub(crate) entry_rank: usize,
-    /// This entry's part of the cold limit.
+    /// This entry's share of the rate limit while the upstream is cold.
     pub(crate) cold_share: ColdShare,
-    /// Missing from the list after an outage; removed at this time unless it is listed again.
-    pub(crate) lapses_at_ms: Option<u64>,
+    /// Time at which an upstream that is missing from the list after a platform outage is removed,
+    /// unless it is listed again, in milliseconds.
+    pub(crate) remove_at_ms: Option<u64>,
 }
 
 impl Upstream {
@@ -103,7 +106,7 @@
             in_flight: 0,
             load: None,
             down_until_ms: 0,
-            refusals: 0,
+            connect_failures: 0,
             failures: 0.0,
             failures_at_ms: 0,
             latency_ms: None,
@@ -111,16 +114,16 @@
             cold_until_ms: 0,
             entry_rank: usize::MAX,
             cold_share: ColdShare::new(),
-            lapses_at_ms: None,
+            remove_at_ms: None,
         }
     }
 
-    /// Tells whether the upstream is taken for cold.
+    /// Tells whether the upstream is treated as cold.
     pub fn is_cold(&self, now_ms: u64) -> bool {
         now_ms < self.cold_until_ms
     }
 
-    /// Tells whether a failed connection keeps the upstream out.
+    /// Tells whether the upstream receives no calls after a failed connection.
     pub fn is_down(&self, now_ms: u64) -> bool {
         now_ms < self.down_until_ms
     }
--- a/crates/core/src/upstreams/tests.rs
+++ b/crates/core/src/upstreams/tests.rs
@@ -36,17 +36,17 @@
 }
 
 fn chosen(upstreams: &Upstreams, now_ms: u64) -> Option<String> {
-    let wanted = SelectionCriteria { service: "s", ..SelectionCriteria::default() };
-    let key = upstreams.choose(&wanted, now_ms)?;
+    let criteria = SelectionCriteria { service: "s", ..SelectionCriteria::default() };
+    let key = upstreams.choose(&criteria, now_ms)?;
     Some(upstreams.get(key).unwrap().record.id.clone())
 }
 
 #[test]
-fn a_leaving_or_unlisted_upstream_gets_nothing() {
+fn a_draining_or_unlisted_upstream_is_not_chosen() {
     let mut upstreams = upstreams(vec![record("a", "x")]);
     assert_eq!(chosen(&upstreams, 1).as_deref(), Some("a"));
-    let leaving = UpstreamRecord { is_draining: true, ..record("a", "x") };
-    upstreams.update(ListUpdate::Listed(leaving), 2);
+    let draining = UpstreamRecord { is_draining: true, ..record("a", "x") };
+    upstreams.update(ListUpdate::Listed(draining), 2);
     assert_eq!(chosen(&upstreams, 2), None);
     upstreams.update(ListUpdate::Listed(record("a", "x")), 3);
     upstreams.update(ListUpdate::Unlisted { id: "a".to_owned() }, 4);
@@ -54,66 +54,70 @@
     assert!(upstreams.is_empty());
 }
 
-/// Returns a directory that holds the platform's list of a revision.
-fn told(records: Vec<UpstreamRecord>, revision: u64) -> Upstreams {
+/// Returns upstreams that hold the platform's list at a revision.
+fn at_revision(records: Vec<UpstreamRecord>, revision: u64) -> Upstreams {
     let mut upstreams = upstreams(records);
     upstreams.set_upstreams_revision(revision);
     upstreams
 }
 
 #[test]
-fn lists_heard_from_an_entry_count_until_newer_ones_come() {
-    let mut fresh = Upstreams::new(UpstreamsSettings::default(), "entry-2");
-    assert_eq!(fresh.platform_lists(0), None, "what was heard is not passed on");
-    let first = told(vec![record("a", "x"), record("b", "x")], 3).platform_lists(0).unwrap();
-    fresh.adopt_newer(first.clone(), 0);
-    assert!(fresh.has_list() && !fresh.has_platform_list());
-    assert_eq!(fresh.platform_lists(0), None);
-    fresh.adopt_newer(told(vec![record("b", "x")], 4).platform_lists(0).unwrap(), 300);
-    assert_eq!(chosen(&fresh, 301).as_deref(), Some("b"), "what has left is forgotten");
-    fresh.adopt_newer(first, 400);
-    assert_eq!(fresh.len(), 1, "an older list changes nothing");
+fn lists_adopted_from_an_entry_are_used_until_newer_ones_arrive() {
+    let mut receiver = Upstreams::new(UpstreamsSettings::default(), "entry-2");
+    assert_eq!(receiver.platform_lists(0), None, "an entry without the platform's list sends none");
+    let first = at_revision(vec![record("a", "x"), record("b", "x")], 3).platform_lists(0).unwrap();
+    receiver.adopt_newer(first.clone(), 0);
+    assert!(receiver.has_list() && !receiver.has_platform_list());
+    assert_eq!(receiver.platform_lists(0), None);
+    receiver.adopt_newer(at_revision(vec![record("b", "x")], 4).platform_lists(0).unwrap(), 300);
+    assert_eq!(
+        chosen(&receiver, 301).as_deref(),
+        Some("b"),
+        "an upstream that is no longer listed is removed"
+    );
+    receiver.adopt_newer(first, 400);
+    assert_eq!(receiver.len(), 1, "an older list is ignored");
 }
 
 #[test]
-fn a_data_centre_that_is_out_is_passed_on_and_taken_back() {
-    let mut teller = told(vec![record("a", "x"), record("b", "y")], 1);
-    teller.set_evacuated("x", true, 0);
-    teller.set_evacuations_revision(2);
-    let mut fresh = Upstreams::new(UpstreamsSettings::default(), "entry-2");
-    let out = [("x".to_owned(), true)];
-    assert_eq!(fresh.adopt_newer(teller.platform_lists(0).unwrap(), 0), out);
-    assert_eq!(chosen(&fresh, 1).as_deref(), Some("b"));
-    teller.set_evacuated("x", false, 10);
-    teller.set_evacuations_revision(3);
-    let back = [("x".to_owned(), false)];
-    assert_eq!(fresh.adopt_newer(teller.platform_lists(10).unwrap(), 10), back);
-    assert!(fresh.evacuated().is_empty());
+fn the_evacuation_of_a_data_centre_and_its_end_are_passed_on() {
+    let mut sender = at_revision(vec![record("a", "x"), record("b", "y")], 1);
+    sender.set_evacuated("x", true, 0);
+    sender.set_evacuations_revision(2);
+    let mut receiver = Upstreams::new(UpstreamsSettings::default(), "entry-2");
+    let evacuated = [("x".to_owned(), true)];
+    assert_eq!(receiver.adopt_newer(sender.platform_lists(0).unwrap(), 0), evacuated);
+    assert_eq!(chosen(&receiver, 1).as_deref(), Some("b"));
+    sender.set_evacuated("x", false, 10);
+    sender.set_evacuations_revision(3);
+    let returned = [("x".to_owned(), false)];
+    assert_eq!(receiver.adopt_newer(sender.platform_lists(10).unwrap(), 10), returned);
+    assert!(receiver.evacuated().is_empty());
 }
 
 #[test]
-fn the_time_for_which_an_upstream_is_cold_is_passed_on() {
-    let mut teller = told(vec![], 1);
-    teller.update(ListUpdate::Listed(record("a", "x")), 1_000);
-    let lists = teller.platform_lists(1_500).unwrap();
+fn the_remaining_cold_time_of_an_upstream_is_passed_on() {
+    let mut sender = at_revision(vec![], 1);
+    sender.update(ListUpdate::Listed(record("a", "x")), 1_000);
+    let lists = sender.platform_lists(1_500).unwrap();
     assert_eq!(lists.upstreams[0].cold_remaining_ms, 2_500, "it has just started");
-    let mut fresh = Upstreams::new(UpstreamsSettings::default(), "entry-2");
-    fresh.adopt_newer(lists, 50);
-    let (_, upstream) = fresh.of_service("s").next().unwrap();
+    let mut receiver = Upstreams::new(UpstreamsSettings::default(), "entry-2");
+    receiver.adopt_newer(lists, 50);
+    let (_, upstream) = receiver.of_service("s").next().unwrap();
     assert!(upstream.is_cold(2_549) && !upstream.is_cold(2_550));
 }
 
-/// One step of the platform or of the entries, by their numbers.
+/// Step of the platform or of an entry; upstreams, data centres and entries are numbered.
 #[derive(Clone, Copy, Debug)]
 enum Step {
-    /// An upstream is listed or leaves.
+    /// An upstream is added to the platform's list or removed from it.
     Toggle(u8),
-    /// A data centre is taken out or back.
+    /// The evacuation of a data centre begins or ends.
     Evacuate(u8),
     /// An entry reads the platform's lists.
     Read(usize),
-    /// An entry tells another what it knows.
-    Tell(usize, usize),
+    /// An entry sends its lists to another.
+    Send(usize, usize),
 }
 
 const ENTRIES: usize = 4;
@@ -123,29 +127,29 @@
         (0..6_u8).prop_map(Step::Toggle),
         (0..2_u8).prop_map(Step::Evacuate),
         (0..ENTRIES).prop_map(Step::Read),
-        (0..ENTRIES, 0..ENTRIES).prop_map(|(from, to)| Step::Tell(from, to)),
+        (0..ENTRIES, 0..ENTRIES).prop_map(|(from, to)| Step::Send(from, to)),
     ]
 }
 
-/// What an entry holds: identifiers of its upstreams, and data centres that are out.
-fn held(entry: &Upstreams) -> (BTreeSet<String>, BTreeSet<String>) {
+/// Returns the lists of an entry: identifiers of its upstreams, and evacuated data centres.
+fn lists_of(entry: &Upstreams) -> (BTreeSet<String>, BTreeSet<String>) {
     let upstreams = entry.of_service("s").map(|(_, it)| it.record.id.clone()).collect();
     (upstreams, entry.evacuated().iter().cloned().collect())
 }
 
-/// Plays steps and checks that each entry holds exactly what the platform held at its revisions, and
-/// that these never fall.
-fn play(
+/// Runs steps and checks that each entry holds exactly the platform's lists at its revisions, and that
+/// the revisions never fall.
+fn run_steps(
     steps: &[Step],
     adopt_newer: fn(&mut Upstreams, PlatformLists),
 ) -> Result<(), TestCaseError> {
     let mut entries: Vec<Upstreams> = (0..ENTRIES)
         .map(|it| Upstreams::new(UpstreamsSettings::default(), &format!("entry-{it}")))
         .collect();
-    let (mut listed, mut out) = (BTreeSet::new(), BTreeSet::new());
+    let (mut listed, mut evacuated) = (BTreeSet::new(), BTreeSet::new());
     let mut revision = 0;
     let mut lists = vec![listed.clone()];
-    let mut outs = vec![out.clone()];
+    let mut evacuated_lists = vec![evacuated.clone()];
     for step in steps {
         let before: Vec<ListRevisions> = entries.iter().map(Upstreams::revisions).collect();
         match *step {
@@ -158,8 +162,8 @@
             }
             Step::Evacuate(number) => {
                 let data_centre = format!("d{number}");
-                if !out.remove(&data_centre) {
-                    out.insert(data_centre);
+                if !evacuated.remove(&data_centre) {
+                    evacuated.insert(data_centre);
                 }
                 revision += 1;
             }
@@ -168,32 +172,34 @@
                 entry.set_entries(Vec::new());
                 let records = listed.iter().map(|it| record(it, "x")).collect();
                 entry.update(ListUpdate::Snapshot(records), 0);
-                let evacuated: Vec<String> = out.iter().cloned().collect();
+                let evacuated: Vec<String> = evacuated.iter().cloned().collect();
                 entry.replace_evacuated(evacuated, 0);
                 entry.set_upstreams_revision(revision);
                 entry.set_evacuations_revision(revision);
             }
-            Step::Tell(from, to) => {
+            Step::Send(from, to) => {
                 if let Some(lists) = entries[from].platform_lists(0) {
                     adopt_newer(&mut entries[to], lists);
                 }
             }
         }
         lists.resize(revision as usize + 1, listed.clone());
-        outs.resize(revision as usize + 1, out.clone());
+        evacuated_lists.resize(revision as usize + 1, evacuated.clone());
         for (entry, before) in entries.iter().zip(before) {
             let now = entry.revisions();
             prop_assert!(!before.has_newer_than(now), "{before:?} became {now:?}");
-            let wanted =
-                (lists[now.upstreams as usize].clone(), outs[now.evacuations as usize].clone());
-            prop_assert_eq!(held(entry), wanted);
+            let expected = (
+                lists[now.upstreams as usize].clone(),
+                evacuated_lists[now.evacuations as usize].clone(),
+            );
+            prop_assert_eq!(lists_of(entry), expected);
         }
     }
     Ok(())
 }
 
-/// Takes over as an entry does.
-fn heedful(entry: &mut Upstreams, lists: PlatformLists) {
+/// Adopts lists as an entry does.
+fn adopt_newer(entry: &mut Upstreams, lists: PlatformLists) {
     entry.adopt_newer(lists, 0);
 }
 
@@ -205,28 +211,28 @@
     })]
 
     #[test]
-    fn entries_that_tell_each_other_hold_what_the_platform_held(
+    fn entries_that_exchange_lists_hold_the_platforms_lists_at_their_revisions(
         steps in prop::collection::vec(step(), 1..60),
     ) {
-        play(&steps, heedful)?;
+        run_steps(&steps, adopt_newer)?;
     }
 }
 
 #[test]
-fn the_play_notices_an_older_list_that_replaces_a_newer_one() {
-    let careless = |entry: &mut Upstreams, lists: PlatformLists| {
+fn the_check_detects_an_older_list_that_replaces_a_newer_one() {
+    let adopt_any = |entry: &mut Upstreams, lists: PlatformLists| {
         entry.replace_evacuated(lists.evacuated, 0);
         entry.set_evacuations_revision(lists.revisions.evacuations);
         entry.update(ListUpdate::FromPeer(lists.upstreams), 0);
         entry.set_upstreams_revision(lists.revisions.upstreams);
     };
-    let steps = [Step::Read(0), Step::Toggle(1), Step::Read(1), Step::Tell(0, 1)];
-    assert!(play(&steps, careless).is_err());
-    assert!(play(&steps, heedful).is_ok());
+    let steps = [Step::Read(0), Step::Toggle(1), Step::Read(1), Step::Send(0, 1)];
+    assert!(run_steps(&steps, adopt_any).is_err());
+    assert!(run_steps(&steps, adopt_newer).is_ok());
 }
 
 #[test]
-fn an_upstream_that_is_missing_after_an_outage_stays_for_the_grace_time() {
+fn an_upstream_missing_from_the_list_after_an_outage_is_kept_for_the_grace_period() {
     let mut upstreams = upstreams(vec![record("a", "x")]);
     upstreams.update(ListUpdate::PlatformRecovered, 10_000);
     upstreams.update(ListUpdate::Snapshot(vec![]), 10_000);
@@ -238,16 +244,16 @@
 }
 
 #[test]
-fn an_upstream_that_was_leaving_is_gone_at_once_after_an_outage() {
-    let leaving = UpstreamRecord { is_draining: true, ..record("a", "x") };
-    let mut upstreams = upstreams(vec![leaving]);
+fn a_draining_upstream_missing_after_an_outage_is_removed_at_once() {
+    let draining = UpstreamRecord { is_draining: true, ..record("a", "x") };
+    let mut upstreams = upstreams(vec![draining]);
     upstreams.update(ListUpdate::PlatformRecovered, 10_000);
     upstreams.update(ListUpdate::Unlisted { id: "a".to_owned() }, 10_001);
     assert!(upstreams.is_empty());
 }
 
 #[test]
-fn an_evacuated_data_centre_gets_nothing_and_comes_back_cold() {
+fn upstreams_of_an_evacuated_data_centre_are_not_chosen_and_are_cold_afterwards() {
     let mut upstreams = upstreams(vec![record("a", "x"), record("b", "y")]);
     upstreams.set_evacuated("x", true, 1);
     assert_eq!(chosen(&upstreams, 1).as_deref(), Some("b"));
@@ -260,7 +266,7 @@
 }
 
 #[test]
-fn a_restart_under_the_same_identifier_forgets_what_was_known() {
+fn a_restart_under_the_same_identifier_resets_the_state() {
     let mut upstreams = upstreams(vec![record("a", "x")]);
     let key = upstreams.of_service("s").next().unwrap().0;
     assert!(upstreams.begin(key, 5));
@@ -274,7 +280,7 @@
 }
 
 #[test]
-fn a_cold_upstream_gets_no_more_than_the_own_share() {
+fn a_cold_upstream_receives_no_more_than_this_entrys_share() {
     let cold = UpstreamRecord { cold_remaining_ms: 60_000, ..record("a", "x") };
     let mut upstreams = upstreams(vec![cold]);
     upstreams.set_entries(vec!["entry-2".to_owned()]);
@@ -286,12 +292,12 @@
             upstreams.end(key, CallEnd::Cancelled, now_ms);
         }
     }
-    // Two of four requests a second for ten seconds, and one at the start.
+    // Half of four requests a second for ten seconds, and a burst of one at the start.
     assert!((19..=21).contains(&sent), "{sent}");
 }
 
 #[test]
-fn an_unreachable_upstream_is_left_alone_for_longer_each_time() {
+fn the_backoff_of_an_unreachable_upstream_doubles() {
     let mut upstreams = upstreams(vec![record("a", "x")]);
     let key = upstreams.of_service("s").next().unwrap().0;
     assert!(upstreams.begin(key, 0));
@@ -306,7 +312,7 @@
 }
 
 #[test]
-fn a_failing_upstream_is_passed_over_for_a_while() {
+fn an_upstream_with_a_recent_failure_is_not_chosen_for_a_while() {
     let mut upstreams = upstreams(vec![record("a", "x"), record("b", "x")]);
     let key = upstreams.of_service("s").find(|(_, it)| it.record.id == "a").unwrap().0;
     assert!(upstreams.begin(key, 0));
@@ -323,22 +329,22 @@
     let mut second = Upstreams::new(UpstreamsSettings::default(), "entry-2");
     second.update(ListUpdate::Snapshot(records.into_iter().rev().collect()), 0);
     let affinity = Affinity { prefix: "p".to_owned() };
-    let wanted = SelectionCriteria {
+    let criteria = SelectionCriteria {
         service: "s",
         affinity: Some(&affinity),
         ..SelectionCriteria::default()
     };
-    let key = first.choose(&wanted, 0).unwrap();
-    let other = second.choose(&wanted, 0).unwrap();
+    let key = first.choose(&criteria, 0).unwrap();
+    let other = second.choose(&criteria, 0).unwrap();
     assert_eq!(first.get(key).unwrap().record.id, second.get(other).unwrap().record.id);
     for _ in 0..8 {
         assert!(first.begin(key, 0));
     }
-    assert_ne!(first.choose(&wanted, 0), Some(key));
+    assert_ne!(first.choose(&criteria, 0), Some(key));
 }
 
 #[test]
-fn a_cold_upstream_gets_nothing_before_the_other_entries_are_known() {
+fn a_cold_upstream_is_not_chosen_before_the_other_entries_are_known() {
     let mut upstreams = Upstreams::new(UpstreamsSettings::default(), "entry-1");
     let mut cold = FastMap::default();
     cold.insert("s".into(), (3_000, 4.0));
@@ -358,8 +364,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// However many entries there are and whichever one each of them does not know of yet, all
-    /// together keep the users' bound on a cold upstream in every second.
+    /// Whatever the number of entries, and whichever one each of them does not know yet, all together
+    /// keep the users' bound on a cold upstream in every second.
     #[test]
     fn all_entries_together_keep_the_cold_limit(
         entries in 1_usize..40,
@@ -375,9 +381,9 @@
             let mut cold = FastMap::default();
             cold.insert("s".into(), (3_000, PER_S));
             upstreams.set_cold_starts(cold);
-            let mut view = names.clone();
-            view.remove(unknown[index] % entries);
-            upstreams.set_entries(view);
+            let mut known_names = names.clone();
+            known_names.remove(unknown[index] % entries);
+            upstreams.set_entries(known_names);
             let record = UpstreamRecord { cold_remaining_ms: 60_000, ..record("a", "x") };
             upstreams.update(ListUpdate::Snapshot(vec![record]), 0);
             let key = upstreams.of_service("s").next().map(|(key, _)| key);
