--- a/crates/core/tests/agent_fuzz/main.rs
+++ b/crates/core/tests/agent_fuzz/main.rs
@@ -4,7 +4,7 @@
 mod harness;
 mod oracle;
 
-use harness::{Run, assert_holds};
+use harness::{FuzzSettings, assert_invariants_hold};
 use proptest::prelude::*;
 use yuccatrail_core::{
     FastMap,
@@ -18,7 +18,7 @@
 
 use crate::oracle::{Oracle, ShownWarm};
 
-const RUN: Run = Run { seed: 9_001, cases: 256, steps: 300 };
+const FUZZ: FuzzSettings = FuzzSettings { seed: 9_001, cases: 256, steps: 300 };
 const AGENT: Incarnation = Incarnation(7);
 const RETENTION_MS: u64 = 100;
 const EVIDENCE_AGE_MS: u64 = 5;
@@ -350,8 +350,8 @@
     AttemptId { request, stage: StageIndex(0), number: 0, entry: Incarnation(1) }
 }
 
-impl harness::World for Sut {
-    type Off = Sabotage;
+impl harness::Simulation for Sut {
+    type Mechanism = Sabotage;
     type Step = Event;
 
     fn new(off: Option<Sabotage>) -> Self {
@@ -384,7 +384,7 @@
 
 #[test]
 fn the_agent_keeps_its_promises() {
-    assert_holds::<Sut>(RUN);
+    assert_invariants_hold::<Sut>(FUZZ);
 }
 
 #[cfg(feature = "sabotage")]
@@ -398,12 +398,12 @@
         Sabotage::Capacity(capacity::Sabotage::IgnoreReset),
         Sabotage::Gate(drain::Sabotage::Operations),
         Sabotage::Gate(drain::Sabotage::PauseDetection),
-        Sabotage::Ledger(sabotage::Sabotage::JoinRepeatedSubmit),
+        Sabotage::Ledger(sabotage::Sabotage::DeduplicateSubmits),
         Sabotage::Ledger(sabotage::Sabotage::Tombstone),
         Sabotage::Ledger(sabotage::Sabotage::UnknownAfterEviction),
     ];
     for sabotage in mechanisms {
-        harness::assert_caught::<Sut>(RUN, sabotage);
+        harness::assert_detected::<Sut>(FUZZ, sabotage);
     }
 }
 
@@ -436,7 +436,7 @@
         sut.submit_in_time(request);
     }
     assert_eq!(sut.oracle.running.len(), COLD_LIMIT);
-    assert!(sut.core.wants_probe());
+    assert!(sut.core.needs_probe());
     sut.apply_event(Event::Probe { boot_id: 0, warm: false });
     assert_eq!(sut.oracle.running.len(), COLD_LIMIT);
 }
--- a/crates/entry/src/relay/model.rs
+++ b/crates/entry/src/relay/model.rs
@@ -1,11 +1,12 @@
-//! Requests that a model answers with a stream of events, after their stages.
+//! Requests of streaming routes: runs their stages, then calls a model upstream that responds with an
+//! event stream.
 
 use std::{sync::Arc, time::Duration};
 
 use futures::{StreamExt, stream::FuturesUnordered};
 use hyper::Response;
 use log::info;
-use yuccatrail_adapter::maker_of;
+use yuccatrail_adapter::result_holder;
 use yuccatrail_core::{
     batching::{GroupOutcome, PieceSource, PreferredDataCentre, StageWork},
     stage_graph::{ReadyStage, ResultHandle, StageGraph},
@@ -14,42 +15,42 @@
 
 use crate::relay::{
     release::HeldResults,
-    request::{AnswerBody, CallerRequest, Refusal},
-    state::{InProgress, Relay},
+    request::{CallerRequest, Refusal, ResponseBody},
+    state::{InProgressGuard, Relay},
     stream::{self, ModelCall},
 };
 
-/// Prompt tokens that a model upstream reads in a millisecond; the users' engines read 40 to 51.
+/// Prompt tokens that a model upstream processes per millisecond; the users' engines process 40 to 51.
 const PROMPT_TOKENS_PER_MS: f64 = 40.0;
-/// Time of a model upstream beside reading the prompt, in milliseconds.
-const MODEL_START_MS: f64 = 60.0;
-/// Times that lost results are made again for one request; its deadline bounds them further.
+/// Time to first event at a model upstream excluding prompt processing, in milliseconds.
+const MODEL_OVERHEAD_MS: f64 = 60.0;
+/// Number of times that lost results are recomputed for one request; its deadline limits it further.
 const MAX_RESTARTS: u32 = 1;
-/// Size from which a result is made late rather than early, in bytes.
+/// Size from which the computation of a result is delayed, in bytes.
 const LARGE_RESULT_BYTES: u64 = 100_000;
-/// Part of its slack for which a stage waits; the rest covers what the estimates miss.
-const SLACK_PART: f64 = 0.7;
-/// Wait that is proposed by an entry that stops, in milliseconds; others can take the request now.
-const STOPPED_RETRY_MS: u64 = 20;
-/// Shortest wait that is proposed when stages are full, in milliseconds.
+/// Fraction of its slack by which a stage is delayed; the rest covers errors of the estimates.
+const SLACK_FRACTION: f64 = 0.7;
+/// Retry-After of a stopping entry, in milliseconds; other entries can take the request at once.
+const STOPPING_RETRY_MS: u64 = 20;
+/// Minimum Retry-After when stages are at capacity, in milliseconds.
 const MIN_STAGE_RETRY_MS: u64 = 200;
 
-/// Serves a request of a model route.
+/// Serves a request of a streaming route.
 pub(crate) async fn serve(
     relay: &Arc<Relay>,
     request: &Arc<CallerRequest>,
-    in_progress: InProgress,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let route = &request.admission.route;
+    in_progress: InProgressGuard,
+) -> Result<Response<ResponseBody>, Refusal> {
+    let route = &request.authorized.route;
     let mut graph = StageGraph::new(&route.stages, &request.head.pieces);
     let mut held = HeldResults::new(relay.clone());
-    let data_centre = tentative_data_centre(relay, request);
-    refuse_hopeless(relay, request, &graph)?;
+    let data_centre = predicted_data_centre(relay, request);
+    refuse_unreachable_deadline(relay, request, &graph)?;
     let mut restarts = 0;
     loop {
         tokio::select! {
             ran = run_stages(relay, request, &mut graph, &mut held, data_centre.as_ref()) => ran?,
-            () = relay.gives_up_waiting() => return Err(Refusal::busy("stopping", STOPPED_RETRY_MS)),
+            () = relay.until_unsent_refused() => return Err(Refusal::busy("stopping", STOPPING_RETRY_MS)),
         }
         let call = ModelCall {
             relay: relay.clone(),
@@ -60,7 +61,7 @@
         match stream::open(call).await {
             Ok(opened) => return Ok(opened.into_response(held, in_progress)),
             Err(stream::OpenError::InputGone) if restarts < MAX_RESTARTS => {
-                info!(id:% = request.id; "a result is gone, the stages run again");
+                info!(id:% = request.id; "stage result no longer exists, rerunning all stages");
                 restarts += 1;
                 held.release_all();
                 graph = StageGraph::new(&route.stages, &request.head.pieces);
@@ -73,24 +74,26 @@
     }
 }
 
-/// Returns the shared prefix that the request is placed by: all parts but its own.
+/// Returns the prompt prefix that requests share, for prefix-cache affinity: all parts but the last,
+/// which belongs to this request alone.
 pub(crate) fn affinity(request: &CallerRequest) -> Option<Affinity> {
     let parts = &request.head.prompt_parts;
     let shared = parts.len().checked_sub(2)?;
     Some(Affinity { prefix: parts[shared].0.clone() })
 }
 
-/// Returns the data centre in which the request will probably run, so that results are made there.
-fn tentative_data_centre(relay: &Relay, request: &CallerRequest) -> Option<Arc<str>> {
+/// Returns the data centre in which the model call will probably run, so that results are computed
+/// there.
+fn predicted_data_centre(relay: &Relay, request: &CallerRequest) -> Option<Arc<str>> {
     let affinity = affinity(request);
-    let wanted = wanted(relay, request, affinity.as_ref(), &[]);
+    let criteria = selection_criteria(relay, request, affinity.as_ref(), &[]);
     let upstreams = relay.upstreams();
-    let key = upstreams.choose(&wanted, relay.now_ms())?;
+    let key = upstreams.choose(&criteria, relay.now_ms())?;
     upstreams.get(key).map(|it| it.record.data_centre.clone())
 }
 
-/// Describes the upstream that the request needs.
-pub(crate) fn wanted<'a>(
+/// Returns the criteria for choosing a model upstream.
+pub(crate) fn selection_criteria<'a>(
     relay: &'a Relay,
     request: &'a CallerRequest,
     affinity: Option<&'a Affinity>,
@@ -105,26 +108,26 @@
     }
 }
 
-/// Returns the time from the last stage to the first event, in milliseconds.
+/// Returns the expected time from the end of the last stage to the first event, in milliseconds.
 fn model_ms(request: &CallerRequest) -> f64 {
     let own_tokens = request.head.prompt_parts.last().map_or(0, |it| it.1);
-    MODEL_START_MS + own_tokens as f64 / PROMPT_TOKENS_PER_MS
+    MODEL_OVERHEAD_MS + own_tokens as f64 / PROMPT_TOKENS_PER_MS
 }
 
-/// Refuses a request whose stages can't be finished before its deadline.
-fn refuse_hopeless(
+/// Refuses a request whose stages and model call are not expected to meet its deadline.
+fn refuse_unreachable_deadline(
     relay: &Relay,
     request: &CallerRequest,
     graph: &StageGraph,
 ) -> Result<(), Refusal> {
-    let stages = &request.admission.route.stages;
+    let stages = &request.authorized.route.stages;
     let now_ms = relay.now_ms();
-    let aim_ms = request.aim_ms();
+    let soft_deadline_ms = request.soft_deadline_ms();
     let needed_ms = graph.remaining_ms(|stage| {
         let (service, pieces) = (&stages[stage].service, graph.pieces(stage));
-        relay.stages.estimate_ms(relay, service, pieces, aim_ms).unwrap_or(0.0)
+        relay.stages.estimate_ms(relay, service, pieces, soft_deadline_ms).unwrap_or(0.0)
     });
-    let needed_ms = needed_ms + MODEL_START_MS;
+    let needed_ms = needed_ms + MODEL_OVERHEAD_MS;
     let remaining_ms = request.remaining_ms(now_ms) as f64;
     if needed_ms <= remaining_ms {
         return Ok(());
@@ -133,13 +136,13 @@
         id:% = request.id,
         needed_ms = needed_ms as u64,
         remaining_ms = remaining_ms as u64;
-        "stages can't be finished in time"
+        "stages can't meet the deadline"
     );
     let retry_after_ms = ((needed_ms - remaining_ms) as u64).max(MIN_STAGE_RETRY_MS);
     Err(Refusal::busy("stages_full", retry_after_ms))
 }
 
-/// Runs all stages and leaves their results in the graph.
+/// Runs all stages and stores their results in the graph.
 async fn run_stages(
     relay: &Arc<Relay>,
     request: &CallerRequest,
@@ -153,24 +156,24 @@
         for ready in graph.start_ready() {
             let work = stage_work(relay, request, graph, &ready, data_centre);
             let delay = start_delay(relay, request, graph, &ready);
-            let service = request.admission.route.stages[ready.stage].service.clone();
+            let service = request.authorized.route.stages[ready.stage].service.clone();
             let inputs = ready.inputs.unwrap_or_default();
             running.push(async move {
                 tokio::time::sleep(delay).await;
-                let ending = relay.stages.run(relay, &service, work).await;
-                (ready.stage, inputs, ending)
+                let outcome = relay.stages.run(relay, &service, work).await;
+                (ready.stage, inputs, outcome)
             });
         }
         let Some((stage, inputs, (end, handles))) = running.next().await else { return Ok(()) };
         held.hold(&handles);
         match end {
             GroupOutcome::Completed => {
-                release_read(graph, held, stage, &inputs);
+                release_consumed_inputs(graph, held, stage, &inputs);
                 graph.finish(stage, handles);
             }
             GroupOutcome::Late => return Err(Refusal::busy("stage_late", MIN_STAGE_RETRY_MS)),
             GroupOutcome::InputGone if restarts < MAX_RESTARTS => {
-                info!(id:% = request.id, stage = stage; "an input is gone, the stages before run again");
+                info!(id:% = request.id, stage = stage; "stage input no longer exists, rerunning the stages before");
                 restarts += 1;
                 graph.restart_inputs(stage);
             }
@@ -182,30 +185,31 @@
     }
 }
 
-/// Returns how long a stage waits for a longer chain beside it.
+/// Returns how long the start of a stage is delayed while a longer parallel chain runs.
 ///
-/// A large result takes up its maker's room until the whole chain is done, so it is made late.
+/// A large result occupies memory at its upstream until the parallel chains are done too, so it is
+/// computed as late as the slack allows.
 fn start_delay(
     relay: &Relay,
     request: &CallerRequest,
     graph: &StageGraph,
     ready: &ReadyStage,
 ) -> Duration {
-    let stages = &request.admission.route.stages;
+    let stages = &request.authorized.route.stages;
     if stages[ready.stage].result_bytes < LARGE_RESULT_BYTES {
         return Duration::ZERO;
     }
-    let aim_ms = request.aim_ms();
+    let soft_deadline_ms = request.soft_deadline_ms();
     let time_ms = |it: usize| {
         let (service, pieces) = (&stages[it].service, graph.pieces(it));
-        relay.stages.estimate_ms(relay, service, pieces, aim_ms).unwrap_or(0.0)
+        relay.stages.estimate_ms(relay, service, pieces, soft_deadline_ms).unwrap_or(0.0)
     };
-    let slack_ms = graph.slack_ms(ready.stage, &time_ms) * SLACK_PART;
+    let slack_ms = graph.slack_ms(ready.stage, &time_ms) * SLACK_FRACTION;
     Duration::from_millis(slack_ms as u64)
 }
 
-/// Releases the results that only a finished stage has read.
-fn release_read(
+/// Releases the inputs of a finished stage unless another stage still reads them.
+fn release_consumed_inputs(
     graph: &mut StageGraph,
     held: &mut HeldResults,
     stage: usize,
@@ -224,16 +228,16 @@
     ready: &ReadyStage,
     data_centre: Option<&Arc<str>>,
 ) -> StageWork {
-    let stages = &request.admission.route.stages;
-    let stated_ms = |it: usize| relay.stages.duration_ms(&stages[it].service, graph.pieces(it));
+    let stages = &request.authorized.route.stages;
+    let nominal_ms = |it: usize| relay.stages.duration_ms(&stages[it].service, graph.pieces(it));
     let loaded_ms = |it: usize| relay.stages.loaded_ms(&stages[it].service);
     let model_ms = model_ms(request);
-    let least_ms = (graph.following_ms(ready.stage, &stated_ms) + model_ms) as u64;
-    let likely_ms = (graph.following_ms(ready.stage, &loaded_ms) + model_ms) as u64;
+    let min_following_ms = (graph.following_ms(ready.stage, &nominal_ms) + model_ms) as u64;
+    let loaded_following_ms = (graph.following_ms(ready.stage, &loaded_ms) + model_ms) as u64;
     let source = match &ready.inputs {
         Some(inputs) => PieceSource::Inputs(inputs.clone()),
         None => PieceSource::Key(request.head.piece_key.clone().unwrap_or_else(|| {
-            info!(id:% = request.id, stage = ready.stage; "request names no key for its pieces");
+            info!(id:% = request.id, stage = ready.stage; "request has no piece key");
             String::new()
         })),
     };
@@ -244,10 +248,10 @@
         source,
         is_only_reader: !graph.has_other_reader(ready.stage),
         result_bytes: stages[ready.stage].result_bytes,
-        priority: request.admission.priority,
-        soft_deadline_ms: request.aim_ms().saturating_sub(likely_ms),
-        deadline_ms: request.deadline_ms.saturating_sub(least_ms),
-        preferred_data_centre: PreferredDataCentre::choose(bytes_by_place(
+        priority: request.authorized.priority,
+        soft_deadline_ms: request.soft_deadline_ms().saturating_sub(loaded_following_ms),
+        deadline_ms: request.deadline_ms.saturating_sub(min_following_ms),
+        preferred_data_centre: PreferredDataCentre::choose(bytes_by_data_centre(
             relay,
             request,
             graph,
@@ -257,16 +261,16 @@
     }
 }
 
-/// Returns the bytes that a piece of a stage reads from each data centre and that its reader will
-/// read in the data centre of the model upstream.
-fn bytes_by_place(
+/// Returns the bytes that one piece of a stage moves from or to each data centre: its inputs where
+/// they are held, and its result in `reader`, the data centre of the model upstream.
+fn bytes_by_data_centre(
     relay: &Relay,
     request: &CallerRequest,
     graph: &StageGraph,
     ready: &ReadyStage,
     reader: Option<&Arc<str>>,
 ) -> Vec<(Arc<str>, u64)> {
-    let stages = &request.admission.route.stages;
+    let stages = &request.authorized.route.stages;
     let stage = &stages[ready.stage];
     let mut shares: Vec<(Arc<str>, u64)> = Vec::new();
     shares.extend(reader.map(|it| (it.clone(), stage.result_bytes)));
@@ -276,8 +280,8 @@
         .flat_map(|it| std::iter::repeat_n(stages[*it].result_bytes, graph.pieces(*it)));
     let upstreams = relay.upstreams();
     for (input, bytes) in ready.inputs.iter().flatten().zip(sizes) {
-        let place = maker_of(input).and_then(|it| upstreams.data_centre_at(it));
-        shares.extend(place.map(|it| (it.clone(), bytes)));
+        let data_centre = result_holder(input).and_then(|it| upstreams.data_centre_at(it));
+        shares.extend(data_centre.map(|it| (it.clone(), bytes)));
     }
     shares
 }
--- a/crates/entry/src/relay/state.rs
+++ b/crates/entry/src/relay/state.rs
@@ -1,4 +1,4 @@
-//! What the tasks of a relay share.
+//! State shared by the tasks of a relay.
 
 use std::{
     sync::{
@@ -23,84 +23,85 @@
 use yuccatrail_runtime::clock::Clock;
 
 use crate::relay::{
-    crashes::Crashes, metrics::RelayMetrics, peers::Peers, pool::Pool, release::Releases,
-    settings::RelaySettings, stages::StageQueues,
+    crashes::RequestCrashes, metrics::RelayMetrics, peers::Peers, pool::ConnectionPool,
+    release::ResultReleases, settings::RelaySettings, stages::StageQueues,
 };
 
-/// Time between two looks whether beliefs are fresh; lists take some milliseconds.
-const FRESH_CHECK: Duration = Duration::from_millis(2);
+/// Interval at which waiting requests check for fresh lists; reading the lists takes a few
+/// milliseconds.
+const FRESHNESS_POLL_INTERVAL: Duration = Duration::from_millis(2);
 
 /// State of one relay.
 pub(crate) struct Relay {
-    /// Settings in force at the start.
+    /// Settings at process start.
     pub(crate) settings: RelaySettings,
-    /// Clock of all times in milliseconds.
+    /// Clock behind all times in milliseconds since the start.
     pub(crate) clock: Clock,
-    /// Connections to upstreams.
-    pub(crate) pool: Pool,
+    /// Idle connections to upstreams.
+    pub(crate) pool: ConnectionPool,
     /// Queues of the stage services.
     pub(crate) stages: StageQueues,
     /// The other entries.
     pub(crate) peers: Peers,
-    /// Results that nobody needs any more.
-    pub(crate) releases: Releases,
-    /// Requests that crash upstreams.
-    pub(crate) crashes: Crashes,
+    /// Stage results to release at their upstreams.
+    pub(crate) releases: ResultReleases,
+    /// Tracks requests that crash upstreams.
+    pub(crate) crashes: RequestCrashes,
     /// Counters and histograms.
     pub(crate) metrics: RelayMetrics,
     table: Mutex<Option<Arc<RouteTable>>>,
     upstreams: Mutex<Upstreams>,
     retries: Mutex<RetryShare>,
     freshness: Mutex<PlatformDataFreshness>,
-    /// How far the lists can be trusted.
-    list_trust: watch::Sender<ListTrust>,
+    /// Tells the feeds to read their lists again.
+    relist_signal: watch::Sender<RelistSignal>,
     is_stopping: AtomicBool,
-    /// Cancelled when a planned stop gives up what no upstream has received.
-    gives_up_waiting: CancellationToken,
-    /// Whether the platform's list of upstreams can be followed now.
+    /// Cancelled when a graceful shutdown refuses the requests that no upstream has received.
+    refuse_unsent_token: CancellationToken,
+    /// Whether the feed of upstreams currently gets responses from the platform.
     follows_platform: AtomicBool,
     in_progress: AtomicUsize,
 }
 
-/// How far the lists of the platform can be trusted.
+/// Tells the feeds when to read the platform's lists again.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct ListTrust {
-    /// Number of times that all lists had to be read again.
-    rereads: u64,
-    /// Whether the platform left the last check unanswered.
-    pub(crate) is_platform_silent: bool,
+pub(crate) struct RelistSignal {
+    /// Number of relists so far; each increase wakes the feeds.
+    relists: u64,
+    /// Whether the last platform check got no response.
+    pub(crate) is_platform_unresponsive: bool,
 }
 
-/// Counts a request for as long as it is in progress.
-pub(crate) struct InProgress {
+/// Counts a request as in progress until dropped.
+pub(crate) struct InProgressGuard {
     relay: Arc<Relay>,
 }
 
-impl Drop for InProgress {
+impl Drop for InProgressGuard {
     fn drop(&mut self) {
         self.relay.in_progress.fetch_sub(1, Ordering::Relaxed);
     }
 }
 
 impl Relay {
-    /// Creates the state of a relay that knows nothing yet.
+    /// Creates the state of a relay without a configuration or upstreams.
     pub(crate) fn new(settings: RelaySettings) -> Arc<Self> {
         let own = Candidate { name: settings.name.clone(), cpu_share: settings.cpu_share };
         Arc::new(Self {
             clock: Clock::new(),
-            pool: Pool::default(),
+            pool: ConnectionPool::default(),
             stages: StageQueues::default(),
             peers: Peers::new(own),
-            releases: Releases::default(),
-            crashes: Crashes::default(),
+            releases: ResultReleases::default(),
+            crashes: RequestCrashes::default(),
             metrics: RelayMetrics::new(),
             table: Mutex::new(None),
             upstreams: Mutex::new(Upstreams::new(UpstreamsSettings::default(), &settings.name)),
             retries: Mutex::new(RetryShare::new(settings.bounds.retries)),
-            freshness: Mutex::new(PlatformDataFreshness::new(suspended_clock_ms())),
-            list_trust: watch::Sender::new(ListTrust::default()),
+            freshness: Mutex::new(PlatformDataFreshness::new(boottime_ms())),
+            relist_signal: watch::Sender::new(RelistSignal::default()),
             is_stopping: AtomicBool::new(false),
-            gives_up_waiting: CancellationToken::new(),
+            refuse_unsent_token: CancellationToken::new(),
             follows_platform: AtomicBool::new(true),
             in_progress: AtomicUsize::new(0),
             settings,
@@ -112,13 +113,13 @@
         self.clock.now_ms()
     }
 
-    /// Returns the configuration in force, if any has arrived.
+    /// Returns the active configuration; none before the first has arrived.
     pub(crate) fn table(&self) -> Option<Arc<RouteTable>> {
         lock(&self.table).clone()
     }
 
-    /// Puts a configuration in force unless it is older than the one that is; returns whether it did.
-    pub(crate) fn adopt(&self, table: RouteTable, source: &str) -> bool {
+    /// Activates a configuration if it is newer than the active one; returns whether it did.
+    pub(crate) fn activate_configuration(&self, table: RouteTable, source: &str) -> bool {
         let mut current = lock(&self.table);
         if current.as_ref().is_some_and(|it| it.version() >= table.version()) {
             return false;
@@ -132,26 +133,26 @@
                 self.stages.configure(&service.name, stage);
             }
         }
-        self.peers.note_change();
+        self.peers.invalidate_polled_entries();
         self.upstreams().set_cold_starts(cold_starts);
         *current = Some(Arc::new(table));
         true
     }
 
-    /// Locks the upstreams; the guard must not be held across a wait.
+    /// Locks the upstreams; the guard must not be held across an await.
     pub(crate) fn upstreams(&self) -> MutexGuard<'_, Upstreams> {
         lock(&self.upstreams)
     }
 
-    /// Locks the retry share; the guard must not be held across a wait.
+    /// Locks the retry share; the guard must not be held across an await.
     pub(crate) fn retries(&self) -> MutexGuard<'_, RetryShare> {
         lock(&self.retries)
     }
 
     /// Counts a request until the returned value is dropped.
-    pub(crate) fn begin_request(self: &Arc<Self>) -> InProgress {
+    pub(crate) fn begin_request(self: &Arc<Self>) -> InProgressGuard {
         self.in_progress.fetch_add(1, Ordering::Relaxed);
-        InProgress { relay: self.clone() }
+        InProgressGuard { relay: self.clone() }
     }
 
     /// Returns the number of requests in progress.
@@ -159,80 +160,83 @@
         self.in_progress.load(Ordering::Relaxed)
     }
 
-    /// Notes that this process runs, and tells the feeds if it did not for a while; returns the time
-    /// of the sign, in milliseconds.
-    pub(crate) fn note_sign_of_life(&self) -> u64 {
-        let now_ms = suspended_clock_ms();
+    /// Detects whether this process was paused since the last call, and makes the feeds relist if so;
+    /// returns the current time on the boot-time clock, in milliseconds.
+    pub(crate) fn detect_pause(&self) -> u64 {
+        let now_ms = boottime_ms();
         let pause_ms = lock(&self.freshness).tick(now_ms);
         if let Some(length_ms) = pause_ms {
-            warn!(length_ms = length_ms; "this process did not run, lists are read again");
-            self.read_lists_again();
+            warn!(length_ms = length_ms; "this process did not run for a while, relisting");
+            self.relist();
         }
         now_ms
     }
 
-    /// Makes the feeds break off their polls and read their lists again.
-    pub(crate) fn read_lists_again(&self) {
-        self.list_trust.send_modify(|it| it.rereads += 1);
+    /// Makes the feeds abort their long polls and read their lists again.
+    pub(crate) fn relist(&self) {
+        self.relist_signal.send_modify(|it| it.relists += 1);
     }
 
-    /// Notes whether the platform answers checks; the feeds don't press one that does not.
-    pub(crate) fn set_platform_silent(&self, is_silent: bool) {
-        self.list_trust.send_if_modified(|it| {
-            let was_silent = std::mem::replace(&mut it.is_platform_silent, is_silent);
-            was_silent != is_silent
+    /// Records whether the platform responds to checks; the feeds back off while it does not.
+    pub(crate) fn set_platform_unresponsive(&self, is_unresponsive: bool) {
+        self.relist_signal.send_if_modified(|it| {
+            let was_unresponsive =
+                std::mem::replace(&mut it.is_platform_unresponsive, is_unresponsive);
+            was_unresponsive != is_unresponsive
         });
     }
 
-    /// Returns a receiver that changes each time that the lists have to be read again.
-    pub(crate) fn list_trust(&self) -> watch::Receiver<ListTrust> {
-        self.list_trust.subscribe()
+    /// Returns a receiver that is notified whenever the lists have to be read again.
+    pub(crate) fn relist_signal(&self) -> watch::Receiver<RelistSignal> {
+        self.relist_signal.subscribe()
     }
 
-    /// Notes that a belief was read as a whole from the platform.
-    pub(crate) fn renew(&self, belief: PlatformData) {
-        lock(&self.freshness).mark_refreshed(belief, suspended_clock_ms());
+    /// Records that a full list of this kind was read from the platform.
+    pub(crate) fn mark_fresh(&self, data: PlatformData) {
+        lock(&self.freshness).mark_refreshed(data, boottime_ms());
     }
 
-    /// Tells whether nothing may be sent before beliefs are fresh.
-    pub(crate) fn has_to_wait(&self) -> bool {
-        let now_ms = self.note_sign_of_life();
+    /// Tells whether requests must wait because a pause left the lists possibly outdated.
+    pub(crate) fn must_wait_for_lists(&self) -> bool {
+        let now_ms = self.detect_pause();
         lock(&self.freshness).must_hold_requests(now_ms)
     }
 
-    /// Waits until beliefs are fresh after a pause of this process.
-    pub(crate) async fn until_fresh(&self) {
-        while self.has_to_wait() {
-            tokio::time::sleep(FRESH_CHECK).await;
+    /// Waits until the lists are fresh after a pause of this process.
+    pub(crate) async fn wait_until_fresh(&self) {
+        while self.must_wait_for_lists() {
+            tokio::time::sleep(FRESHNESS_POLL_INTERVAL).await;
         }
     }
 
-    /// Notes that a planned stop has begun.
+    /// Begins a graceful shutdown, which makes the relay report not ready.
     pub(crate) fn begin_stop(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Refuses the requests that no upstream has received yet.
-    pub(crate) fn give_up_waiting(&self) {
-        self.gives_up_waiting.cancel();
+    /// Makes [`Self::until_unsent_refused`] return, so that requests that no upstream has received are
+    /// refused.
+    pub(crate) fn refuse_unsent(&self) {
+        self.refuse_unsent_token.cancel();
     }
 
-    /// Waits until requests that no upstream has received are refused.
-    pub(crate) async fn gives_up_waiting(&self) {
-        self.gives_up_waiting.cancelled().await;
+    /// Waits until a graceful shutdown refuses the requests that no upstream has received.
+    pub(crate) async fn until_unsent_refused(&self) {
+        self.refuse_unsent_token.cancelled().await;
     }
 
-    /// Notes whether the platform's list of upstreams can be followed.
+    /// Records whether the feed of upstreams gets responses from the platform.
     pub(crate) fn set_follows_platform(&self, follows: bool) {
         self.follows_platform.store(follows, Ordering::Relaxed);
     }
 
-    /// Tells whether the beliefs come from the platform and are kept up to date.
+    /// Tells whether the lists come from the platform and are kept up to date.
     pub(crate) fn follows_platform(&self) -> bool {
         self.follows_platform.load(Ordering::Relaxed) && self.upstreams().has_platform_list()
     }
 
-    /// Tells whether callers may come: the relay holds a configuration and a list and stays.
+    /// Tells whether the relay takes callers: it has a configuration and a list of upstreams, and is not
+    /// stopping.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping.load(Ordering::Relaxed)
             && lock(&self.table).is_some()
@@ -240,12 +244,13 @@
     }
 }
 
-/// Returns the time since the instance started, which counts suspensions, in milliseconds.
-fn suspended_clock_ms() -> u64 {
+/// Returns the time since the instance booted, including suspensions, in milliseconds.
+fn boottime_ms() -> u64 {
     let time = clock_gettime(ClockId::Boottime);
     time.tv_sec as u64 * 1_000 + time.tv_nsec as u64 / 1_000_000
 }
 
+/// Locks a mutex, also after a panic of another holder.
 pub(crate) fn lock<T>(mutex: &Mutex<T>) -> MutexGuard<'_, T> {
     mutex.lock().unwrap_or_else(PoisonError::into_inner)
 }
