--- a/crates/core/src/stage_graph/mod.rs
+++ b/crates/core/src/stage_graph/mod.rs
@@ -1,14 +1,14 @@
-//! Progress of one request through the stages that run before it.
+//! Dependency graph of the stages that run before one request, and their progress.
 
 use crate::route_table::StageSpec;
 
-/// Handle of a result, which names its maker; only the platform can interpret it.
+/// Handle of a result, which identifies the upstream that made it; only the platform interprets it.
 pub type ResultHandle = String;
 
 /// State of one stage of one request.
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum StageState {
-    /// Waits for the stages before it.
+    /// Waits for the stages that it depends on.
     Blocked,
     /// Its pieces are being made.
     Running,
@@ -19,31 +19,33 @@
 /// A stage whose pieces can be made now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadyStage {
-    /// Position of the stage.
+    /// Position of the stage in the request's route.
     pub stage: usize,
     /// Number of pieces to make.
     pub pieces: usize,
-    /// Results that every piece reads; none for a stage that reads the request's own data.
+    /// Results that every piece reads; none for a stage that reads the request's own data instead.
     pub inputs: Option<Vec<ResultHandle>>,
 }
 
 /// Stages of one request.
 #[derive(Clone, Debug)]
 pub struct StageGraph {
-    after: Vec<Vec<usize>>,
+    /// For each stage, the stages whose results it reads.
+    dependencies: Vec<Vec<usize>>,
     pieces: Vec<usize>,
     states: Vec<StageState>,
-    /// Stages whose results no longer exist.
+    /// For each stage, whether its results have been released.
     released: Vec<bool>,
 }
 
 impl StageGraph {
-    /// Creates the graph of a request with `pieces` pieces for each stage; missing numbers are 0.
+    /// Creates the graph of a request, where `pieces` holds the number of pieces of each stage; missing
+    /// numbers are 0, and a stage without pieces is done from the start.
     pub fn new(stages: &[StageSpec], pieces: &[usize]) -> Self {
-        let after = stages.iter().map(|it| it.after.clone()).collect();
+        let dependencies = stages.iter().map(|it| it.after.clone()).collect();
         let pieces = (0..stages.len()).map(|it| pieces.get(it).copied().unwrap_or(0)).collect();
         let mut graph = Self {
-            after,
+            dependencies,
             pieces,
             states: vec![StageState::Blocked; stages.len()],
             released: vec![false; stages.len()],
@@ -56,7 +58,7 @@
         graph
     }
 
-    /// Returns the stages that can start now and marks them as running.
+    /// Returns the stages that can start now, and marks them as running.
     pub fn start_ready(&mut self) -> Vec<ReadyStage> {
         let mut ready = Vec::new();
         for stage in 0..self.states.len() {
@@ -64,114 +66,123 @@
                 continue;
             }
             self.states[stage] = StageState::Running;
-            let inputs =
-                (!self.after[stage].is_empty()).then(|| self.results_of(&self.after[stage]));
+            let inputs = (!self.dependencies[stage].is_empty())
+                .then(|| self.results_of(&self.dependencies[stage]));
             ready.push(ReadyStage { stage, pieces: self.pieces[stage], inputs });
         }
         ready
     }
 
-    /// Notes the results of a stage, in the order of its pieces.
+    /// Marks a stage as done, with its results in the order of its pieces.
     pub fn finish(&mut self, stage: usize, handles: Vec<ResultHandle>) {
         if let Some(state) = self.states.get_mut(stage) {
             *state = StageState::Done(handles);
         }
     }
 
-    /// Notes that the results that a stage read have been released.
+    /// Records that the results that a stage read have been released.
     pub fn note_inputs_released(&mut self, stage: usize) {
-        for before in &self.after[stage] {
-            self.released[*before] = true;
+        for dependency in &self.dependencies[stage] {
+            self.released[*dependency] = true;
         }
     }
 
-    /// Makes a stage and everything that read its results run again, with the stages before it whose
-    /// results are gone.
+    /// Resets a stage and all stages that read its results, so that they run again, and those of its
+    /// dependencies whose results have been released.
     pub fn restart(&mut self, stage: usize) {
         if self.pieces[stage] > 0 {
             self.states[stage] = StageState::Blocked;
         }
         self.released[stage] = false;
-        for before in self.after[stage].clone() {
-            if self.released[before] {
-                self.restart(before);
+        for dependency in self.dependencies[stage].clone() {
+            if self.released[dependency] {
+                self.restart(dependency);
             }
         }
-        for later in 0..self.states.len() {
-            if self.after[later].contains(&stage) && self.states[later] != StageState::Blocked {
-                self.restart(later);
+        for dependent in 0..self.states.len() {
+            if self.dependencies[dependent].contains(&stage)
+                && self.states[dependent] != StageState::Blocked
+            {
+                self.restart(dependent);
             }
         }
     }
 
-    /// Makes the stages whose results `stage` reads run again, and everything that read them.
+    /// Resets the stages whose results `stage` reads and all stages that read them, so that they run
+    /// again.
     pub fn restart_inputs(&mut self, stage: usize) {
-        for before in self.after[stage].clone() {
-            self.restart(before);
+        for dependency in self.dependencies[stage].clone() {
+            self.restart(dependency);
         }
         self.restart(stage);
     }
 
-    /// Tells whether every stage has its results.
+    /// Tells whether all stages are done.
     pub fn is_done(&self) -> bool {
         self.states.iter().all(|it| matches!(it, StageState::Done(_)))
     }
 
-    /// Returns the stages that have not finished, with the number of their pieces.
+    /// Returns the stages that are not done, each with its number of pieces.
     pub fn unfinished(&self) -> impl Iterator<Item = (usize, usize)> {
-        let open = |(_, state): &(usize, &StageState)| !matches!(state, StageState::Done(_));
-        self.states.iter().enumerate().filter(open).map(|(it, _)| (it, self.pieces[it]))
+        let is_unfinished =
+            |(_, state): &(usize, &StageState)| !matches!(state, StageState::Done(_));
+        self.states.iter().enumerate().filter(is_unfinished).map(|(it, _)| (it, self.pieces[it]))
     }
 
-    /// Returns the results that the request itself reads: those of stages that no other follows.
+    /// Returns the results that the request itself reads: those of stages without dependents.
     pub fn final_results(&self) -> Vec<ResultHandle> {
-        let is_last = |stage: &usize| !self.after.iter().any(|it| it.contains(stage));
+        let is_last = |stage: &usize| !self.dependencies.iter().any(|it| it.contains(stage));
         let last: Vec<usize> = (0..self.states.len()).filter(is_last).collect();
         self.results_of(&last)
     }
 
-    /// Returns every result that exists.
+    /// Returns the results of all stages that are done.
     pub fn all_results(&self) -> Vec<ResultHandle> {
         let all: Vec<usize> = (0..self.states.len()).collect();
         self.results_of(&all)
     }
 
-    /// Returns the longest chain of unfinished stages, weighing each stage by `time_ms`.
+    /// Returns the duration of the critical path through the stages that are not done, in milliseconds,
+    /// where `time_ms` is the duration of each stage.
     pub fn remaining_ms(&self, mut time_ms: impl FnMut(usize) -> f64) -> f64 {
-        let mut longest = vec![0.0; self.states.len()];
+        let mut longest_ms = vec![0.0; self.states.len()];
         for stage in 0..self.states.len() {
-            let before = self.after[stage].iter().filter(|it| **it < stage);
-            let start: f64 = before.map(|it| longest[*it]).fold(0.0, f64::max);
-            let own = if matches!(self.states[stage], StageState::Done(_)) {
+            let dependencies = self.dependencies[stage].iter().filter(|it| **it < stage);
+            let start_ms: f64 = dependencies.map(|it| longest_ms[*it]).fold(0.0, f64::max);
+            let own_ms = if matches!(self.states[stage], StageState::Done(_)) {
                 0.0
             } else {
                 time_ms(stage)
             };
-            longest[stage] = start + own;
+            longest_ms[stage] = start_ms + own_ms;
         }
-        longest.into_iter().fold(0.0, f64::max)
+        longest_ms.into_iter().fold(0.0, f64::max)
     }
 
-    /// Returns the longest chain of stages that follow `stage`, weighing each by `time_ms`.
+    /// Returns the duration of the critical path after `stage`, without `stage` itself, in milliseconds,
+    /// where `time_ms` is the duration of each stage.
     pub fn following_ms(&self, stage: usize, time_ms: &impl Fn(usize) -> f64) -> f64 {
-        let mut longest: f64 = 0.0;
-        for later in stage + 1..self.after.len() {
-            if self.after[later].contains(&stage) && self.pieces[later] > 0 {
-                longest = longest.max(time_ms(later) + self.following_ms(later, time_ms));
+        let mut longest_ms: f64 = 0.0;
+        for dependent in stage + 1..self.dependencies.len() {
+            if self.dependencies[dependent].contains(&stage) && self.pieces[dependent] > 0 {
+                longest_ms =
+                    longest_ms.max(time_ms(dependent) + self.following_ms(dependent, time_ms));
             }
         }
-        longest
+        longest_ms
     }
 
-    /// Tells whether a stage beside `stage` reads the same results and has not finished.
+    /// Tells whether another stage that is not done reads a result that `stage` reads.
     pub fn has_other_reader(&self, stage: usize) -> bool {
-        let reads_same =
-            |other: usize| self.after[other].iter().any(|it| self.after[stage].contains(it));
-        let is_open = |other: usize| !matches!(self.states[other], StageState::Done(_));
-        (0..self.states.len()).any(|it| it != stage && reads_same(it) && is_open(it))
+        let shares_input = |other: usize| {
+            self.dependencies[other].iter().any(|it| self.dependencies[stage].contains(it))
+        };
+        let is_pending = |other: usize| !matches!(self.states[other], StageState::Done(_));
+        (0..self.states.len()).any(|it| it != stage && shares_input(it) && is_pending(it))
     }
 
-    /// Returns how much later a stage may start without delaying the request, in milliseconds.
+    /// Returns the slack of a stage: how much later it may start without delaying the request, in
+    /// milliseconds.
     pub fn slack_ms(&self, stage: usize, time_ms: &impl Fn(usize) -> f64) -> f64 {
         let own_ms = time_ms(stage) + self.following_ms(stage, time_ms);
         (self.remaining_ms(time_ms) - own_ms).max(0.0)
@@ -183,7 +194,9 @@
     }
 
     fn is_unblocked(&self, stage: usize) -> bool {
-        self.after[stage].iter().all(|it| matches!(self.states.get(*it), Some(StageState::Done(_))))
+        self.dependencies[stage]
+            .iter()
+            .all(|it| matches!(self.states.get(*it), Some(StageState::Done(_))))
     }
 
     fn results_of(&self, stages: &[usize]) -> Vec<ResultHandle> {
--- a/crates/core/src/stage_graph/tests.rs
+++ b/crates/core/src/stage_graph/tests.rs
@@ -3,8 +3,8 @@
     stage_graph::{ReadyStage, StageGraph},
 };
 
-fn stage(after: &[usize]) -> StageSpec {
-    StageSpec { service: "s".into(), after: after.to_vec(), result_bytes: 1 }
+fn stage(dependencies: &[usize]) -> StageSpec {
+    StageSpec { service: "s".into(), after: dependencies.to_vec(), result_bytes: 1 }
 }
 
 fn handles(names: &[&str]) -> Vec<String> {
@@ -12,7 +12,7 @@
 }
 
 #[test]
-fn a_stage_reads_all_results_of_the_stages_before_it() {
+fn a_stage_reads_all_results_of_its_dependencies() {
     let stages = [stage(&[]), stage(&[0]), stage(&[1])];
     let mut graph = StageGraph::new(&stages, &[1, 2, 1]);
     assert_eq!(graph.start_ready(), [ReadyStage { stage: 0, pieces: 1, inputs: None }]);
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_stage_without_pieces_is_left_out() {
+fn a_stage_without_pieces_is_skipped() {
     let stages = [stage(&[]), stage(&[]), stage(&[1])];
     let mut graph = StageGraph::new(&stages, &[0, 1, 1]);
     assert_eq!(graph.start_ready(), [ReadyStage { stage: 1, pieces: 1, inputs: None }]);
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn a_lost_result_makes_its_stage_and_all_later_ones_run_again() {
+fn restarting_a_stage_restarts_all_stages_that_depend_on_it() {
     let stages = [stage(&[]), stage(&[0]), stage(&[])];
     let mut graph = StageGraph::new(&stages, &[1, 1, 1]);
     for index in 0..3 {
@@ -53,12 +53,12 @@
     graph.restart(0);
     assert!(!graph.is_done());
     assert_eq!(graph.start_ready(), [ReadyStage { stage: 0, pieces: 1, inputs: None }]);
-    let open: Vec<(usize, usize)> = graph.unfinished().collect();
-    assert_eq!(open, [(0, 1), (1, 1)]);
+    let unfinished: Vec<(usize, usize)> = graph.unfinished().collect();
+    assert_eq!(unfinished, [(0, 1), (1, 1)]);
 }
 
 #[test]
-fn a_stage_without_its_inputs_makes_only_the_stages_before_it_run_again() {
+fn restarting_the_inputs_of_a_stage_restarts_only_its_direct_dependencies() {
     let stages = [stage(&[]), stage(&[0]), stage(&[1])];
     let mut graph = StageGraph::new(&stages, &[1, 1, 1]);
     graph.start_ready();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn the_time_left_is_that_of_the_longest_chain() {
+fn the_remaining_time_is_that_of_the_critical_path() {
     let stages = [stage(&[]), stage(&[]), stage(&[1])];
     let mut graph = StageGraph::new(&stages, &[1, 1, 1]);
     let time_ms = |it: usize| [50.0, 20.0, 10.0][it];
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn the_time_after_a_stage_is_that_of_the_chain_behind_it() {
+fn the_time_after_a_stage_is_that_of_its_longest_chain_of_dependents() {
     let stages = [stage(&[]), stage(&[0]), stage(&[1]), stage(&[])];
     let graph = StageGraph::new(&stages, &[1, 2, 3, 4]);
     let time_ms = |it: usize| [50.0, 20.0, 10.0, 70.0][it];
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_stage_beside_a_longer_chain_has_slack() {
+fn a_stage_parallel_to_a_longer_chain_has_slack() {
     let stages = [stage(&[]), stage(&[]), stage(&[1])];
     let graph = StageGraph::new(&stages, &[1, 1, 1]);
     let time_ms = |it: usize| [50.0, 60.0, 70.0][it];
@@ -101,7 +101,7 @@
 }
 
 #[test]
-fn a_stage_runs_again_with_the_stages_before_it_whose_results_were_released() {
+fn a_restarted_stage_restarts_its_dependencies_whose_results_were_released() {
     let stages = [stage(&[]), stage(&[0]), stage(&[1]), stage(&[])];
     let mut graph = StageGraph::new(&stages, &[1, 1, 1, 1]);
     graph.start_ready();
@@ -113,7 +113,11 @@
     graph.start_ready();
     graph.restart_inputs(2);
     let ready = graph.start_ready();
-    assert_eq!(ready, [ReadyStage { stage: 0, pieces: 1, inputs: None }], "and not stage 3");
+    assert_eq!(
+        ready,
+        [ReadyStage { stage: 0, pieces: 1, inputs: None }],
+        "stage 3 is not restarted"
+    );
     graph.finish(0, handles(&["e"]));
     let inputs = Some(handles(&["e"]));
     assert_eq!(graph.start_ready(), [ReadyStage { stage: 1, pieces: 1, inputs }]);
