--- a/crates/core/src/ownership/tests.rs
+++ b/crates/core/src/ownership/tests.rs
@@ -8,8 +8,8 @@
 };
 
 const READY: OwnState = OwnState { takes_work: true, follows_platform: true };
-const REFUSED: OwnState = OwnState { takes_work: true, follows_platform: false };
-const LIVES: PeerState = PeerState::Alive { takes_work: true, follows_platform: true };
+const REJECTED: OwnState = OwnState { takes_work: true, follows_platform: false };
+const ALIVE: PeerState = PeerState::Alive { takes_work: true, follows_platform: true };
 
 fn candidates(shares: &[f64]) -> Vec<Candidate> {
     let name = |index: usize| format!("entry-{index}");
@@ -24,7 +24,7 @@
     ["tagging", "billing", "scheduling"].map(Arc::from).to_vec()
 }
 
-/// Returns the views of all entries, none of which has heard of another.
+/// Returns the views of all entries, where no entry has polled another.
 fn views(all: &[Candidate]) -> Vec<EntryView> {
     let mut views: Vec<EntryView> = all.iter().cloned().map(EntryView::new).collect();
     for view in &mut views {
@@ -35,7 +35,7 @@
     views
 }
 
-/// Lets every view ask until nothing changes; `answers` tells what is heard of each entry.
+/// Lets every entry poll until nothing changes; `answers` holds the state of each entry, as polled.
 fn settle(views: &mut [EntryView], own: OwnState, answers: &FastMap<String, PeerState>) {
     for view in views {
         for _ in 0..answers.len() {
@@ -46,12 +46,12 @@
     }
 }
 
-fn all_live(all: &[Candidate]) -> FastMap<String, PeerState> {
-    all.iter().map(|it| (it.name.clone(), LIVES)).collect()
+fn all_alive(all: &[Candidate]) -> FastMap<String, PeerState> {
+    all.iter().map(|it| (it.name.clone(), ALIVE)).collect()
 }
 
 #[test]
-fn all_entries_choose_the_same_order_whatever_they_list_first() {
+fn the_order_does_not_depend_on_the_order_of_the_list() {
     let mut all = candidates(&[0.2, 0.2, 0.2, 0.2]);
     let order = ranked("work", all.clone());
     all.reverse();
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn weak_entries_own_nothing_while_a_strong_one_lives() {
+fn weak_entries_rank_after_all_strong_ones() {
     let all = candidates(&[0.09, 0.5, 0.09, 0.4]);
     for index in 0..100 {
         let order = ranked(&format!("work-{index}"), all.clone());
@@ -81,35 +81,35 @@
 }
 
 #[test]
-fn an_entry_without_others_owns_everything_itself() {
+fn a_single_entry_owns_all_work() {
     let mut view = EntryView::new(candidates(&[0.2]).remove(0));
     assert_eq!(view.owner("work", READY), None);
     assert!(view.peers_to_poll(&subjects(), READY).is_empty());
 }
 
 #[test]
-fn questions_stay_few_however_many_entries_there_are() {
+fn the_number_of_polled_entries_is_bounded_for_any_number_of_entries() {
     for number in [3, 30, 100, 300] {
         let all = candidates(&vec![0.2; number]);
         let mut views = views(&all);
-        settle(&mut views, READY, &all_live(&all));
-        let mut asked_by: FastMap<String, usize> = FastMap::default();
+        settle(&mut views, READY, &all_alive(&all));
+        let mut polled_by: FastMap<String, usize> = FastMap::default();
         for view in &mut views {
-            let asked = view.peers_to_poll(&subjects(), READY);
-            assert!(asked.len() <= 8, "{number} entries: {}", asked.len());
-            for name in asked {
-                *asked_by.entry(name).or_default() += 1;
+            let polled = view.peers_to_poll(&subjects(), READY);
+            assert!(polled.len() <= 8, "{number} entries: {}", polled.len());
+            for name in polled {
+                *polled_by.entry(name).or_default() += 1;
             }
         }
-        assert!(all.iter().all(|it| asked_by.get(&it.name) >= Some(&2)), "{number} entries");
+        assert!(all.iter().all(|it| polled_by.get(&it.name) >= Some(&2)), "{number} entries");
     }
 }
 
 #[test]
-fn the_next_in_order_takes_over_as_soon_as_the_owner_is_lost() {
+fn the_next_entry_in_order_owns_the_work_as_soon_as_the_owner_is_lost() {
     let all = candidates(&[0.2; 30]);
     let mut views = views(&all);
-    settle(&mut views, READY, &all_live(&all));
+    settle(&mut views, READY, &all_alive(&all));
     for subject in subjects() {
         let order = ranked(&subject, all.clone());
         for view in &mut views {
@@ -119,17 +119,17 @@
             view.set_state(&order[0].name, PeerState::Lost);
             let next = view.owner(&subject, READY).map(str::to_owned);
             assert!(next.is_none_or(|it| it == order[1].name));
-            view.set_state(&order[0].name, LIVES);
+            view.set_state(&order[0].name, ALIVE);
         }
     }
 }
 
 #[test]
-fn entries_that_all_stop_still_agree_on_an_owner() {
+fn entries_agree_on_an_owner_while_all_of_them_stop() {
     let stopping = OwnState { takes_work: false, follows_platform: true };
     let all = candidates(&[0.2; 3]);
-    let heard = PeerState::Alive { takes_work: false, follows_platform: true };
-    let answers = all.iter().map(|it| (it.name.clone(), heard)).collect();
+    let state = PeerState::Alive { takes_work: false, follows_platform: true };
+    let answers = all.iter().map(|it| (it.name.clone(), state)).collect();
     let mut views = views(&all);
     settle(&mut views, stopping, &answers);
     for subject in subjects() {
@@ -141,19 +141,19 @@
 }
 
 #[test]
-fn an_entry_that_the_platform_refuses_asks_on_until_one_follows_it() {
+fn an_entry_that_the_platform_rejects_polls_on_until_one_follows_the_platform() {
     let all = candidates(&[0.2; 30]);
-    let refused = PeerState::Alive { takes_work: true, follows_platform: false };
-    let mut answers = all_live(&all);
+    let rejected = PeerState::Alive { takes_work: true, follows_platform: false };
+    let mut answers = all_alive(&all);
     for entry in &all[..20] {
-        answers.insert(entry.name.clone(), refused);
+        answers.insert(entry.name.clone(), rejected);
     }
     let mut views = views(&all);
-    settle(&mut views, REFUSED, &answers);
+    settle(&mut views, REJECTED, &answers);
     for view in &mut views[..20] {
-        let asked = view.peers_to_poll(&subjects(), REFUSED);
-        assert!(asked.iter().any(|it| answers[it] == LIVES));
-        assert!(asked.len() <= 18);
+        let polled = view.peers_to_poll(&subjects(), REJECTED);
+        assert!(polled.iter().any(|it| answers[it] == ALIVE));
+        assert!(polled.len() <= 18);
     }
 }
 
@@ -165,26 +165,26 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whichever entries are lost, the others agree on the owners once they have heard that, and
-    /// each of them is reached by news that any of them has.
+    /// Whichever entries are lost, the others agree on the owners once their polls have shown it, and
+    /// an update that reaches any of them spreads to all of them.
     #[test]
-    fn entries_that_live_agree_and_stay_connected(
+    fn live_entries_agree_on_owners_and_stay_connected(
         number in 2_usize..40,
         lost in prop::collection::vec(any::<prop::sample::Index>(), 0..30),
         shares in prop::collection::vec(0.05_f64..0.5, 40),
     ) {
         let all = candidates(&shares[..number]);
-        let mut answers = all_live(&all);
+        let mut answers = all_alive(&all);
         for index in &lost {
             let name = &all[index.index(number)].name;
             answers.insert(name.clone(), PeerState::Lost);
         }
         let mut views = views(&all);
         settle(&mut views, READY, &answers);
-        let living: Vec<usize> =
-            (0..number).filter(|it| answers[&all[*it].name] == LIVES).collect();
+        let alive: Vec<usize> =
+            (0..number).filter(|it| answers[&all[*it].name] == ALIVE).collect();
         for subject in subjects() {
-            let owners: FastSet<String> = living
+            let owners: FastSet<String> = alive
                 .iter()
                 .map(|it| {
                     let own_name = &all[*it].name;
@@ -192,19 +192,19 @@
                 })
                 .collect();
             prop_assert!(owners.len() <= 1, "{owners:?}");
-            prop_assert!(owners.iter().all(|it| answers[it] == LIVES));
+            prop_assert!(owners.iter().all(|it| answers[it] == ALIVE));
         }
-        // News passes from an entry that is asked to the one that asks.
-        let Some(first) = living.first() else { return Ok(()) };
-        let mut told: FastSet<String> = FastSet::from_iter([all[*first].name.clone()]);
+        // Updates pass from a polled entry to the one that polls it.
+        let Some(first) = alive.first() else { return Ok(()) };
+        let mut updated: FastSet<String> = FastSet::from_iter([all[*first].name.clone()]);
         for _ in 0..number {
-            for it in &living {
-                let asked = views[*it].peers_to_poll(&subjects(), READY);
-                if asked.iter().any(|name| told.contains(name)) {
-                    told.insert(all[*it].name.clone());
+            for it in &alive {
+                let polled = views[*it].peers_to_poll(&subjects(), READY);
+                if polled.iter().any(|name| updated.contains(name)) {
+                    updated.insert(all[*it].name.clone());
                 }
             }
         }
-        prop_assert_eq!(told.len(), living.len());
+        prop_assert_eq!(updated.len(), alive.len());
     }
 }
--- a/crates/core/src/ownership/view.rs
+++ b/crates/core/src/ownership/view.rs
@@ -1,9 +1,9 @@
-//! What one entry knows of the others, and which of them it asks.
+//! View that one entry has of the others, and the choice of entries that it polls.
 //!
-//! Asking every other entry costs the square of their number: at 300 entries and three questions a
-//! second each would answer a thousand. An entry asks only those that it needs: the first ones in
-//! the order of each piece of shared work, and its neighbours on a circle of all entries, through
-//! which configurations and lists reach an entry that the platform refuses.
+//! Polling every other entry costs the square of their number: with 300 entries and three polls a
+//! second, each would answer a thousand a second. An entry polls only those that it needs: the first
+//! ones in the order for each shared work, and its neighbours on a ring of all entries, through which
+//! configurations and lists reach an entry that the platform rejects.
 
 use std::sync::Arc;
 
@@ -13,27 +13,27 @@
     upstreams::rendezvous_weight,
 };
 
-/// Entries that are asked for each piece of shared work: the owner and the one that follows it.
-const OWNERS_ASKED: usize = 2;
-/// Entries that are asked for each piece of shared work at most, while few of them take work, as
+/// Number of entries that are polled for each shared work: the owner and its successor.
+const OWNERS_POLLED: usize = 2;
+/// Largest number of entries that are polled for each shared work while few of them accept work, as
 /// when all start at once.
-const MAX_OWNERS_ASKED: usize = 6;
-/// Neighbours that are asked; each entry is asked by as many.
-const NEIGHBOURS_ASKED: usize = 2;
-/// Neighbours that are asked at most, while few of them are of use.
-const MAX_NEIGHBOURS: usize = 12;
-/// Names the circle in the hash that orders the entries on it; it must not follow data centres.
-const CIRCLE: &str = "circle";
-
-/// What an entry that was asked last answered.
+const MAX_OWNERS_POLLED: usize = 6;
+/// Number of ring neighbours that are polled; each entry is polled by as many.
+const NEIGHBOURS_POLLED: usize = 2;
+/// Largest number of ring neighbours that are polled while few of them are useful.
+const MAX_NEIGHBOURS_POLLED: usize = 12;
+/// Hash subject that orders the entries on the ring; the order must not follow data centres.
+const RING: &str = "circle";
+
+/// State of another entry, as of its last poll.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum PeerState {
-    /// Nothing yet.
+    /// It has not been polled yet.
     #[default]
     Unknown,
-    /// It answers.
+    /// It answered.
     Alive {
-        /// Whether it takes work of others.
+        /// Whether it accepts work from other entries.
         takes_work: bool,
         /// Whether it follows the platform now.
         follows_platform: bool,
@@ -43,64 +43,64 @@
 }
 
 impl PeerState {
-    fn is_life(self) -> bool {
+    fn is_alive(self) -> bool {
         matches!(self, Self::Alive { .. })
     }
 }
 
-/// State of the entry that holds the view.
+/// State of the entry that the view belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct OwnState {
-    /// Whether it takes work.
+    /// Whether it accepts work.
     pub takes_work: bool,
     /// Whether it follows the platform now.
     pub follows_platform: bool,
 }
 
 #[derive(Clone, Copy, Debug)]
-struct Listed {
+struct ListedEntry {
     cpu_share: f64,
-    heard: PeerState,
+    state: PeerState,
 }
 
-/// All entries as one of them sees them.
+/// All entries as one of them knows them.
 #[derive(Debug)]
 pub struct EntryView {
     own: Candidate,
-    listed: FastMap<String, Listed>,
-    /// All entries in their order for each piece of shared work; made when first needed.
+    listed: FastMap<String, ListedEntry>,
+    /// Names of all entries in their order for each shared work; computed when first needed.
     rankings: FastMap<Arc<str>, Vec<String>>,
-    /// All entries in the order of the circle, beginning after the own one; made when first needed.
-    circle: Option<Vec<String>>,
+    /// Names of the other entries in ring order, beginning after this one; computed when first needed.
+    ring: Option<Vec<String>>,
 }
 
 impl EntryView {
-    /// Creates the view of an entry that knows no other.
+    /// Creates the view of an entry that knows no others.
     pub fn new(own: Candidate) -> Self {
-        Self { own, listed: FastMap::default(), rankings: FastMap::default(), circle: None }
+        Self { own, listed: FastMap::default(), rankings: FastMap::default(), ring: None }
     }
 
-    /// Notes an entry, or its new processor share; what was heard of an earlier run is forgotten.
+    /// Adds an entry or updates its CPU share; the state of an earlier run is reset.
     pub fn add(&mut self, entry: Candidate) {
         if entry.name == self.own.name {
             return;
         }
-        let listed = Listed { cpu_share: entry.cpu_share, heard: PeerState::Unknown };
+        let listed = ListedEntry { cpu_share: entry.cpu_share, state: PeerState::Unknown };
         self.listed.insert(entry.name, listed);
-        self.forget_orders();
+        self.clear_orders();
     }
 
-    /// Notes that an entry is gone.
+    /// Removes an entry.
     pub fn remove(&mut self, name: &str) {
         if self.listed.remove(name).is_some() {
-            self.forget_orders();
+            self.clear_orders();
         }
     }
 
-    /// Notes what was heard of an entry; returns whether that is new.
-    pub fn set_state(&mut self, name: &str, heard: PeerState) -> bool {
+    /// Sets the state of an entry; returns whether it changed.
+    pub fn set_state(&mut self, name: &str, state: PeerState) -> bool {
         let Some(listed) = self.listed.get_mut(name) else { return false };
-        std::mem::replace(&mut listed.heard, heard) != heard
+        std::mem::replace(&mut listed.state, state) != state
     }
 
     /// Returns the number of entries, this one included.
@@ -108,66 +108,66 @@
         self.listed.len() + 1
     }
 
-    /// Returns the owner of a piece of shared work, or `None` where it is this entry.
+    /// Returns the owner of a shared work, or `None` if it is this entry.
     ///
-    /// While no entry takes work, as when all stop one after the other, the first that lives owns it.
+    /// While no entry accepts work, as when all stop one after the other, the first live entry owns it.
     pub fn owner(&mut self, subject: &str, own: OwnState) -> Option<&str> {
         self.rank(subject);
         let (listed, own_name) = (&self.listed, &self.own.name);
         let ranking = self.rankings.get(subject)?;
         let takes_work = |name: &&String| match listed.get(*name) {
-            Some(it) => matches!(it.heard, PeerState::Alive { takes_work: true, .. }),
+            Some(it) => matches!(it.state, PeerState::Alive { takes_work: true, .. }),
             None => own.takes_work,
         };
-        let lives = |name: &&String| listed.get(*name).is_none_or(|it| it.heard.is_life());
-        let owner = ranking.iter().find(takes_work).or_else(|| ranking.iter().find(lives))?;
+        let is_alive = |name: &&String| listed.get(*name).is_none_or(|it| it.state.is_alive());
+        let owner = ranking.iter().find(takes_work).or_else(|| ranking.iter().find(is_alive))?;
         (owner != own_name).then_some(owner.as_str())
     }
 
-    /// Returns the entries to ask, with `subjects` as the pieces of shared work.
+    /// Returns the names of the entries to poll, where `subjects` are the names of the shared work.
     pub fn peers_to_poll(&mut self, subjects: &[Arc<str>], own: OwnState) -> FastSet<String> {
-        let mut asked = FastSet::default();
+        let mut polled = FastSet::default();
         for subject in subjects {
             self.rank(subject);
             let ranking = self.rankings.get(subject).map_or(&[][..], Vec::as_slice);
-            let (mut lived, mut hopeful) = (0, 0);
+            let (mut not_lost, mut likely_owners) = (0, 0);
             for name in ranking {
-                if hopeful >= OWNERS_ASKED || lived >= MAX_OWNERS_ASKED {
+                if likely_owners >= OWNERS_POLLED || not_lost >= MAX_OWNERS_POLLED {
                     break;
                 }
                 let Some(listed) = self.listed.get(name) else {
-                    hopeful += usize::from(own.takes_work);
+                    likely_owners += usize::from(own.takes_work);
                     continue;
                 };
-                lived += usize::from(listed.heard != PeerState::Lost);
-                hopeful += usize::from(listed.may_take_work());
-                asked.insert(name.clone());
+                not_lost += usize::from(listed.state != PeerState::Lost);
+                likely_owners += usize::from(listed.may_accept_work());
+                polled.insert(name.clone());
             }
         }
-        self.ask_neighbours(&mut asked, own);
-        asked
+        self.add_neighbours(&mut polled, own);
+        polled
     }
 
-    fn ask_neighbours(&mut self, asked: &mut FastSet<String>, own: OwnState) {
+    fn add_neighbours(&mut self, polled: &mut FastSet<String>, own: OwnState) {
         let (own_name, listed) = (&self.own.name, &self.listed);
-        let circle = self.circle.get_or_insert_with(|| circle_after(own_name, listed));
-        let (mut lived, mut of_use) = (0, 0);
-        for name in circle.iter() {
-            if of_use >= NEIGHBOURS_ASKED || lived >= MAX_NEIGHBOURS {
+        let ring = self.ring.get_or_insert_with(|| ring_after(own_name, listed));
+        let (mut not_lost, mut useful) = (0, 0);
+        for name in ring.iter() {
+            if useful >= NEIGHBOURS_POLLED || not_lost >= MAX_NEIGHBOURS_POLLED {
                 return;
             }
             let Some(neighbour) = listed.get(name) else { continue };
-            lived += usize::from(neighbour.heard != PeerState::Lost);
-            // An entry that the platform refuses needs one that it does not refuse.
-            let is_of_use = match neighbour.heard {
+            not_lost += usize::from(neighbour.state != PeerState::Lost);
+            // An entry that the platform rejects needs one that follows the platform.
+            let is_useful = match neighbour.state {
                 PeerState::Unknown => true,
                 PeerState::Alive { follows_platform, .. } => {
                     follows_platform || own.follows_platform
                 }
                 PeerState::Lost => false,
             };
-            of_use += usize::from(is_of_use);
-            asked.insert(name.clone());
+            useful += usize::from(is_useful);
+            polled.insert(name.clone());
         }
     }
 
@@ -185,25 +185,25 @@
         self.rankings.insert(subject.into(), names);
     }
 
-    fn forget_orders(&mut self) {
+    fn clear_orders(&mut self) {
         self.rankings.clear();
-        self.circle = None;
+        self.ring = None;
     }
 }
 
-impl Listed {
-    fn may_take_work(&self) -> bool {
-        matches!(self.heard, PeerState::Unknown | PeerState::Alive { takes_work: true, .. })
+impl ListedEntry {
+    fn may_accept_work(&self) -> bool {
+        matches!(self.state, PeerState::Unknown | PeerState::Alive { takes_work: true, .. })
     }
 }
 
-/// Returns the listed entries in the order of the circle, beginning after `own_name`.
-fn circle_after(own_name: &str, listed: &FastMap<String, Listed>) -> Vec<String> {
-    let own_place = rendezvous_weight(own_name, CIRCLE);
-    let mut places: Vec<(u64, &String)> = listed
+/// Returns the names of the listed entries in ring order, beginning after `own_name`.
+fn ring_after(own_name: &str, listed: &FastMap<String, ListedEntry>) -> Vec<String> {
+    let own_position = rendezvous_weight(own_name, RING);
+    let mut positions: Vec<(u64, &String)> = listed
         .keys()
-        .map(|it| (rendezvous_weight(it, CIRCLE).wrapping_sub(own_place), it))
+        .map(|it| (rendezvous_weight(it, RING).wrapping_sub(own_position), it))
         .collect();
-    places.sort_unstable();
-    places.into_iter().map(|(_, name)| name.clone()).collect()
+    positions.sort_unstable();
+    positions.into_iter().map(|(_, name)| name.clone()).collect()
 }
