--- a/crates/core/src/freshness/tests.rs
+++ b/crates/core/src/freshness/tests.rs
@@ -1,7 +1,7 @@
 use crate::freshness::{PlatformData, PlatformDataFreshness};
 
 #[test]
-fn a_process_that_runs_on_never_waits() {
+fn a_process_without_pauses_never_holds_requests() {
     let mut freshness = PlatformDataFreshness::new(0);
     for now_ms in (0..60_000).step_by(25) {
         assert_eq!(freshness.tick(now_ms), None);
@@ -10,25 +10,24 @@
 }
 
 #[test]
-fn requests_wait_until_every_belief_was_read_again() {
+fn requests_are_held_until_all_platform_data_is_read_again() {
     let mut freshness = PlatformDataFreshness::new(0);
     assert_eq!(freshness.tick(3_000), Some(3_000));
-    assert_eq!(freshness.tick(3_001), None, "a pause is found once");
-    for belief in [PlatformData::Upstreams, PlatformData::Configuration, PlatformData::Evacuations]
-    {
+    assert_eq!(freshness.tick(3_001), None, "a pause is reported once");
+    for data in [PlatformData::Upstreams, PlatformData::Configuration, PlatformData::Evacuations] {
         assert!(freshness.must_hold_requests(3_100));
-        freshness.mark_refreshed(belief, 3_100);
+        freshness.mark_refreshed(data, 3_100);
     }
     assert!(!freshness.must_hold_requests(3_100));
 }
 
 #[test]
-fn without_the_platform_they_wait_half_a_second() {
+fn requests_are_held_for_half_a_second_if_the_platform_does_not_answer() {
     let mut freshness = PlatformDataFreshness::new(0);
     freshness.tick(5_000);
     assert!(freshness.must_hold_requests(5_499));
     assert!(!freshness.must_hold_requests(5_500));
     freshness.tick(5_500);
     freshness.tick(9_000);
-    assert!(freshness.must_hold_requests(9_001), "the next pause counts again");
+    assert!(freshness.must_hold_requests(9_001), "a second pause holds requests again");
 }
