--- a/crates/core/src/retry_share/mod.rs
+++ b/crates/core/src/retry_share/mod.rs
@@ -1,22 +1,22 @@
-//! One entry's part of the retries that all entries may send to a service.
+//! One entry's share of the retry budget of a service.
 //!
-//! The users bound retries per service and window: a part of the requests of the window, and a fixed
-//! number for all entries together. Each entry spends its part of its own requests and its share of
-//! the fixed number, so that the sum keeps the bound without any exchange.
+//! The users limit the retries for each service and window to a fraction of the requests in the window
+//! plus a fixed number, for all entries together. Each entry may use that fraction of its own requests
+//! and its share of the fixed number, so that the sum stays within the limit without coordination.
 
 use std::sync::Arc;
 
 use crate::FastMap;
 
-/// Part of the bound that is used; the rest covers requests that entries count differently.
-const USED_PART: f64 = 0.75;
+/// Fraction of the budget that is used; the rest covers requests that entries count differently.
+const USED_FRACTION: f64 = 0.75;
 
-/// Bound on retries for all entries together.
+/// Limit on the retries to each service, for all entries together.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct RetryLimit {
-    /// Retries for each request of the window.
+    /// Retries for each request in the window.
     pub ratio: f64,
-    /// Retries beyond that in each window, for all entries.
+    /// Additional retries in each window, for all entries together.
     pub slack: f64,
     /// Length of the window, in milliseconds.
     pub window_ms: u64,
@@ -24,12 +24,13 @@
 
 #[derive(Clone, Debug, Default)]
 struct Window {
-    /// Times of requests in the window, in milliseconds.
+    /// Times of the requests in the window, in milliseconds.
     requests: Vec<u64>,
+    /// Times of the retries in the window, in milliseconds.
     retries: Vec<u64>,
 }
 
-/// Counts the requests and retries of one entry.
+/// Sliding-window counters of the requests and retries of one entry, for each service.
 #[derive(Debug)]
 pub struct RetryShare {
     limit: RetryLimit,
@@ -37,12 +38,12 @@
 }
 
 impl RetryShare {
-    /// Creates a share that has seen nothing.
+    /// Creates a share without requests and retries.
     pub fn new(limit: RetryLimit) -> Self {
         Self { limit, services: FastMap::default() }
     }
 
-    /// Replaces the bound.
+    /// Replaces the limit.
     pub fn set_limit(&mut self, limit: RetryLimit) {
         self.limit = limit;
     }
@@ -51,17 +52,18 @@
     pub fn count_request(&mut self, service: &Arc<str>, now_ms: u64) {
         let window_ms = self.limit.window_ms;
         let window = self.services.entry(service.clone()).or_default();
-        window.forget_old(now_ms, window_ms);
+        window.evict_old(now_ms, window_ms);
         window.requests.push(now_ms);
     }
 
-    /// Counts a retry and returns whether it may be sent, with `entries` sharing the bound.
+    /// Counts a retry if it may be sent and returns whether it may, where `entries` entries share the
+    /// limit.
     pub fn take(&mut self, service: &Arc<str>, entries: usize, now_ms: u64) -> bool {
         let limit = self.limit;
         let window = self.services.entry(service.clone()).or_default();
-        window.forget_old(now_ms, limit.window_ms);
-        let share = limit.slack / entries.max(1) as f64;
-        let allowed = USED_PART * (limit.ratio * window.requests.len() as f64 + share);
+        window.evict_old(now_ms, limit.window_ms);
+        let slack_share = limit.slack / entries.max(1) as f64;
+        let allowed = USED_FRACTION * (limit.ratio * window.requests.len() as f64 + slack_share);
         if window.retries.len() as f64 + 1.0 > allowed {
             return false;
         }
@@ -71,7 +73,7 @@
 }
 
 impl Window {
-    fn forget_old(&mut self, now_ms: u64, window_ms: u64) {
+    fn evict_old(&mut self, now_ms: u64, window_ms: u64) {
         let oldest_ms = now_ms.saturating_sub(window_ms);
         self.requests.retain(|it| *it >= oldest_ms);
         self.retries.retain(|it| *it >= oldest_ms);
--- a/crates/core/src/retry_share/tests.rs
+++ b/crates/core/src/retry_share/tests.rs
@@ -5,7 +5,7 @@
 const LIMIT: RetryLimit = RetryLimit { ratio: 0.2, slack: 52.0, window_ms: 10_000 };
 
 #[test]
-fn retries_come_back_when_the_window_has_passed() {
+fn retries_are_allowed_again_after_the_window() {
     let service = "s".into();
     let mut share = RetryShare::new(LIMIT);
     let allowed = (0..100).filter(|_| share.take(&service, 3, 1_000)).count();
@@ -22,9 +22,10 @@
         ..ProptestConfig::default()
     })]
 
-    /// The sum over all entries keeps the bound in every window, however unevenly requests arrive.
+    /// The retries of all entries together stay within the limit in every window, however unevenly
+    /// requests arrive.
     #[test]
-    fn all_entries_together_keep_the_bound(
+    fn retries_of_all_entries_together_stay_within_the_limit(
         entries in 1_usize..30,
         events in prop::collection::vec((0_usize..30, 0_u64..200, any::<bool>()), 1..600),
     ) {
@@ -42,8 +43,8 @@
             }
             let start_ms = now_ms.saturating_sub(LIMIT.window_ms);
             let in_window = |it: &&u64| **it >= start_ms;
-            let bound = LIMIT.ratio * requests.iter().filter(in_window).count() as f64 + LIMIT.slack;
-            prop_assert!(retries.iter().filter(in_window).count() as f64 <= bound);
+            let limit = LIMIT.ratio * requests.iter().filter(in_window).count() as f64 + LIMIT.slack;
+            prop_assert!(retries.iter().filter(in_window).count() as f64 <= limit);
         }
     }
 }
