--- a/crates/core/src/event_stream/mod.rs
+++ b/crates/core/src/event_stream/mod.rs
@@ -1,35 +1,35 @@
-//! Cuts a relayed event stream into whole events without changing a byte.
+//! Splits a relayed event stream (server-sent events) at event boundaries, without changing a byte.
 //!
-//! A relay that may continue a stream at another upstream must not pass on part of an event, since
-//! the upstream repeats that event from its beginning.
+//! A relay that may resume a stream at another upstream must not forward part of an event, since that
+//! upstream repeats the event from its beginning.
 
 use bytes::{Bytes, BytesMut};
 
-/// Identifier of an event, which rises by one from event to event.
+/// Identifier of an event; each event's is one higher than that of the event before it.
 pub type EventId = u64;
 
-/// Whole events that may be passed on.
+/// Complete events that may be forwarded.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct CompleteEvents {
-    /// The events as they arrived.
+    /// The events, byte for byte as they arrived.
     pub bytes: Bytes,
-    /// Identifier of the last of them; none if none of them carries one.
+    /// Last identifier in them; none if none of them carries one.
     pub last_id: Option<EventId>,
 }
 
-/// Gathers bytes until an event is whole.
+/// Buffers bytes until an event is complete.
 #[derive(Debug, Default)]
 pub struct EventFramer {
     pending: BytesMut,
 }
 
 impl EventFramer {
-    /// Creates a cutter that holds nothing.
+    /// Creates a framer with an empty buffer.
     pub fn new() -> Self {
         Self::default()
     }
 
-    /// Takes in bytes and returns the events that are whole now.
+    /// Adds received bytes and returns the events that are complete now; none if there are none.
     pub fn push(&mut self, bytes: &[u8]) -> Option<CompleteEvents> {
         self.pending.extend_from_slice(bytes);
         let end = end_of_last_event(&self.pending)?;
@@ -38,13 +38,13 @@
         Some(CompleteEvents { bytes, last_id })
     }
 
-    /// Tells whether the stream has ended between two events.
+    /// Tells whether no part of an event is buffered, so that the stream is at an event boundary.
     pub fn is_empty(&self) -> bool {
         self.pending.is_empty()
     }
 }
 
-/// Returns the position after the last empty line.
+/// Returns the position after the last empty line, which ends an event.
 fn end_of_last_event(bytes: &[u8]) -> Option<usize> {
     let mut end = bytes.len();
     while end >= 2 {
