--- a/crates/core/src/stage_graph/mod.rs
+++ b/crates/core/src/stage_graph/mod.rs
@@ -81,7 +81,7 @@
     }
 
     /// Records that the results that a stage read have been released.
-    pub fn note_inputs_released(&mut self, stage: usize) {
+    pub fn mark_inputs_released(&mut self, stage: usize) {
         for dependency in &self.dependencies[stage] {
             self.released[*dependency] = true;
         }
--- a/crates/core/src/stage_graph/tests.rs
+++ b/crates/core/src/stage_graph/tests.rs
@@ -109,7 +109,7 @@
     graph.finish(3, handles(&["d"]));
     graph.start_ready();
     graph.finish(1, handles(&["b"]));
-    graph.note_inputs_released(1);
+    graph.mark_inputs_released(1);
     graph.start_ready();
     graph.restart_inputs(2);
     let ready = graph.start_ready();
--- a/crates/entry/src/relay/model.rs
+++ b/crates/entry/src/relay/model.rs
@@ -217,7 +217,7 @@
 ) {
     if !inputs.is_empty() && !graph.has_other_reader(stage) {
         held.release(inputs);
-        graph.note_inputs_released(stage);
+        graph.mark_inputs_released(stage);
     }
 }
 
