--- a/crates/core/src/capacity/mod.rs
+++ b/crates/core/src/capacity/mod.rs
@@ -1,47 +1,46 @@
-//! Number of calls that the upstream beside an agent may run at once.
+//! Concurrency limit that an agent applies to its upstream.
 //!
-//! An upstream counts as cold until it shows itself warm, also right after the agent's own start.
-//! While it is cold, no call starts beyond the cold limit. Once it is warm, the limit grows window
-//! by window and adapts to the latency that the calls see.
+//! An upstream counts as cold until there is evidence that it is warm, also right after the start
+//! of the agent. While it is cold, no call starts beyond the cold limit. Once it is warm, the limit
+//! grows window by window and adapts to the observed latency.
 
-mod ramp;
+mod adaptive_limit;
 #[cfg(test)]
 mod tests;
 
 use slotmap::{SlotMap, new_key_type};
 
-use crate::capacity::ramp::{Ramp, Sample};
+use crate::capacity::adaptive_limit::{AdaptiveLimit, SampleOutcome};
 
-/// Completions of steady latency that show warmth when probes don't report it.
+/// Consecutive completions of steady latency that prove an upstream warm if probes don't report it.
 pub const WARM_COMPLETIONS: u32 = 3;
 
-/// Largest ratio between the latencies of two consecutive completions that count as steady.
+/// Maximum ratio between the latencies of two consecutive completions that count as steady.
 const STEADY_FACTOR: f64 = 2.0;
 
-/// Calls overdue at the same time that count as a latency jump.
+/// Number of concurrently overdue calls that count as a latency jump.
 const OVERDUE_CALLS: usize = 3;
 
-/// Time after a refused connection in which no call starts unless a probe is answered, in
-/// milliseconds.
+/// Time after a failed connection in which no call starts unless a probe is answered, in milliseconds.
 const CONNECT_BACKOFF_MS: u64 = 500;
 
 new_key_type! {
-    /// Identifies a call in progress.
+    /// Key of a call in progress.
     pub struct CallKey;
 }
 
-/// Names the time between two cold starts, as far as the agent knows of them.
+/// Number of the period between two cold starts that the agent detected or assumed.
 ///
-/// Evidence of warmth counts only in the epoch in which it was asked for.
+/// Evidence that the upstream is warm counts only in the epoch in which its probe or call started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(u32);
 
-/// Limits of one upstream.
+/// Configured concurrency limits of one upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CapacityConfig {
-    /// Calls that the warm upstream runs at once.
+    /// Maximum number of concurrent calls while the upstream is warm.
     pub concurrency: u32,
-    /// Calls that the upstream can bear at once in a cold start.
+    /// Maximum number of concurrent calls during a cold start.
     pub cold_concurrency: u32,
 }
 
@@ -52,7 +51,7 @@
 }
 
 impl CapacityConfig {
-    /// Returns the cold limit, which is at least one and at most the warm limit.
+    /// Returns the limit during a cold start, at least one and at most the warm limit.
     pub fn cold_limit(&self) -> u32 {
         self.cold_concurrency.clamp(1, self.ceiling())
     }
@@ -62,44 +61,44 @@
     }
 }
 
-/// Answer of the upstream to a health probe.
+/// Response of the upstream to a health probe.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Probe {
     /// Value of [`Capacity::epoch`] when the probe was sent.
     pub epoch: Epoch,
-    /// Identifier that the upstream draws at each start, if it reports one.
+    /// Random identifier that the upstream chooses at each start, if it reports one.
     pub boot_id: Option<u64>,
-    /// Whether the upstream is warm, if it reports that.
+    /// Whether the upstream is warm, if it reports it.
     pub warm: Option<bool>,
 }
 
 /// How a call ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The upstream answered in full.
+    /// The upstream responded completely.
     Completed,
     /// The upstream reported a failure.
     Failed,
-    /// The call was cancelled or lost, so its duration says nothing.
+    /// The call was cancelled or lost, so its duration is not used.
     Abandoned,
 }
 
-/// Mechanisms that tests switch off.
+/// Mechanisms that tests disable.
 #[cfg(feature = "sabotage")]
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum Sabotage {
-    /// Everything works.
+    /// No mechanism is disabled.
     #[default]
     None,
     /// A changed boot identifier is ignored.
     IgnoreBootId,
     /// Connection failures and resets are ignored.
     IgnoreReset,
-    /// Evidence of warmth counts whenever it was asked for.
+    /// Evidence of warmth from earlier epochs is accepted.
     AcceptStaleEvidence,
     /// The upstream counts as warm from the start.
     StartWarm,
-    /// The limit rises to its maximum as soon as the upstream is warm.
+    /// The limit jumps to its maximum as soon as the upstream is warm.
     NoSlowStart,
 }
 
@@ -112,35 +111,35 @@
 
 #[derive(Clone, Copy, Debug, PartialEq)]
 enum Phase {
-    /// The upstream does not accept connections; without an end, until a probe is answered.
+    /// The upstream does not accept connections; without a time, until a probe is answered.
     Stopped { until_ms: Option<u64> },
-    /// The upstream may be in a cold start.
+    /// The upstream may be in a cold start; counts consecutive completions of steady latency.
     Cold { steady: u32, last_ratio: Option<f64> },
-    /// The upstream showed itself warm.
+    /// There is evidence that the upstream is warm.
     Warm,
 }
 
 const COLD: Phase = Phase::Cold { steady: 0, last_ratio: None };
 
-/// Capacity of one upstream as its agent knows it.
+/// Concurrency limit of one upstream and its calls in progress.
 #[derive(Clone, Debug)]
 pub struct Capacity {
     config: CapacityConfig,
     phase: Phase,
     epoch: Epoch,
     boot_id: Option<u64>,
-    /// Whether probes report warmth or its lack.
+    /// Whether the last probe told if the upstream is warm.
     reports_warmth: bool,
-    /// Whether a latency jump contradicts probes that report warmth.
+    /// Whether a latency jump contradicts probes that report the upstream as warm.
     distrusts_probes: bool,
     calls: SlotMap<CallKey, Call>,
-    ramp: Ramp,
+    warm_limit: AdaptiveLimit,
     #[cfg(feature = "sabotage")]
     sabotage: Sabotage,
 }
 
 impl Capacity {
-    /// Creates the capacity of an upstream whose state is not known yet.
+    /// Creates the limit of an upstream whose state is unknown, which is assumed cold.
     pub fn new(config: CapacityConfig) -> Self {
         Self {
             config,
@@ -150,13 +149,13 @@
             reports_warmth: false,
             distrusts_probes: false,
             calls: SlotMap::with_key(),
-            ramp: Ramp::new(config.cold_limit(), config.ceiling()),
+            warm_limit: AdaptiveLimit::new(config.cold_limit(), config.ceiling()),
             #[cfg(feature = "sabotage")]
             sabotage: Sabotage::None,
         }
     }
 
-    /// Switches one mechanism off.
+    /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, sabotage: Sabotage) {
         self.sabotage = sabotage;
@@ -165,15 +164,15 @@
         }
     }
 
-    /// Takes over changed limits.
+    /// Changes the configured limits.
     ///
-    /// Calls in progress continue; a lower limit holds for the next start.
+    /// Calls in progress continue; a lower limit applies from the next start.
     pub fn set_config(&mut self, config: CapacityConfig) {
         self.config = config;
-        self.ramp.set_bounds(config.cold_limit(), config.ceiling());
+        self.warm_limit.set_bounds(config.cold_limit(), config.ceiling());
     }
 
-    /// Returns the current epoch, which a probe carries from its sending to its answer.
+    /// Returns the current epoch, which the caller records when it sends a probe.
     pub fn epoch(&self) -> Epoch {
         self.epoch
     }
@@ -183,46 +182,46 @@
         self.calls.len() as u32
     }
 
-    /// Tells whether the upstream has not shown itself warm.
+    /// Returns whether the upstream is stopped or may be in a cold start.
     pub fn is_cold(&self) -> bool {
         self.phase != Phase::Warm
     }
 
-    /// Tells whether a jump of the latency contradicts probes that report warmth.
+    /// Returns whether a latency jump contradicts probes that report the upstream as warm.
     pub fn distrusts_probes(&self) -> bool {
         self.distrusts_probes
     }
 
-    /// Returns the number of calls that the upstream can bear at once in a cold start.
+    /// Returns the concurrency limit during a cold start.
     pub fn cold_limit(&self) -> u32 {
         self.config.cold_limit()
     }
 
-    /// Returns the number of calls that the upstream may run at once now.
+    /// Returns the current concurrency limit.
     pub fn limit(&self) -> u32 {
         match self.phase {
             Phase::Stopped { .. } => 0,
             Phase::Cold { .. } => self.config.cold_limit(),
-            Phase::Warm => self.warm_limit(),
+            Phase::Warm => self.current_warm_limit(),
         }
     }
 
-    /// Returns the number of calls that the upstream is expected to run at once shortly.
+    /// Returns the concurrency limit that is expected shortly.
     ///
-    /// It exceeds the limit of a warm upstream whose limit still doubles.
+    /// It exceeds the current limit only while the limit of a warm upstream is still doubling.
     pub fn projected_limit(&self) -> u32 {
         match self.phase {
-            Phase::Warm => self.ramp.projected_limit().max(self.limit()),
+            Phase::Warm => self.warm_limit.projected_limit().max(self.limit()),
             Phase::Stopped { .. } | Phase::Cold { .. } => self.limit(),
         }
     }
 
-    /// Tells whether a call may start now.
+    /// Returns whether a call may start now.
     pub fn can_start(&self) -> bool {
         self.running() < self.limit()
     }
 
-    /// Starts a call that is expected to take `expected_ms`, if the limit allows it.
+    /// Starts a call with an expected duration of `expected_ms`, if the limit allows it.
     pub fn try_start(&mut self, now_ms: u64, expected_ms: u64) -> Option<CallKey> {
         self.on_tick(now_ms);
         if !self.can_start() {
@@ -231,35 +230,35 @@
 
         let call = Call { epoch: self.epoch, started_ms: now_ms, expected_ms: expected_ms.max(1) };
         let key = self.calls.insert(call);
-        self.ramp.on_start(self.calls.len() as u32);
+        self.warm_limit.on_start(self.calls.len() as u32);
         Some(key)
     }
 
-    /// Ends a call; a key that has ended before is ignored.
+    /// Records the end of a call; the key of a call that already ended is ignored.
     pub fn finish(&mut self, now_ms: u64, key: CallKey, end: CallEnd) {
         let Some(call) = self.calls.remove(key) else { return };
-        if end == CallEnd::Abandoned || !self.counts_in_epoch(call.epoch) {
+        if end == CallEnd::Abandoned || !self.is_current_epoch(call.epoch) {
             return;
         }
 
-        let engine_ms = now_ms.saturating_sub(call.started_ms).max(1);
-        let ratio = engine_ms as f64 / call.expected_ms as f64;
-        let ok = end == CallEnd::Completed;
+        let duration_ms = now_ms.saturating_sub(call.started_ms).max(1);
+        let ratio = duration_ms as f64 / call.expected_ms as f64;
+        let is_success = end == CallEnd::Completed;
         match self.phase {
             Phase::Stopped { .. } => {}
-            // The upstream itself knows better than its latency whether it is warm.
+            // The upstream's own report takes precedence over its latency.
             Phase::Cold { .. } if self.reports_warmth && !self.distrusts_probes => {}
             Phase::Cold { steady, last_ratio } => {
-                self.on_cold_sample(steady, last_ratio, ratio, ok)
+                self.on_cold_sample(steady, last_ratio, ratio, is_success)
             }
-            Phase::Warm => self.on_warm_sample(ratio, ok),
+            Phase::Warm => self.on_warm_sample(ratio, is_success),
         }
     }
 
-    /// Takes the upstream's answer to a health probe.
+    /// Records the upstream's response to a health probe.
     pub fn on_probe(&mut self, probe: Probe) {
-        if self.boot_id_changed(probe.boot_id) {
-            self.clamp();
+        if self.is_boot_id_changed(probe.boot_id) {
+            self.assume_cold_start();
         }
         if probe.boot_id.is_some() {
             self.boot_id = probe.boot_id;
@@ -270,40 +269,40 @@
         }
 
         match probe.warm {
-            Some(true) if self.shows_warmth(&probe) => self.become_warm(),
-            Some(false) => self.clamp(),
+            Some(true) if self.is_evidence_of_warmth(&probe) => self.set_warm(),
+            Some(false) => self.assume_cold_start(),
             _ => {}
         }
     }
 
-    /// Notes that a connection to the upstream was refused or timed out.
+    /// Records that a connection to the upstream was refused or timed out.
     ///
-    /// No call starts for a while, unless a probe is answered before.
+    /// No call starts during a backoff, which ends early if a probe is answered.
     pub fn on_connect_failure(&mut self, now_ms: u64) {
         if self.ignores_reset() {
             return;
         }
-        self.clamp();
+        self.assume_cold_start();
         self.phase = Phase::Stopped { until_ms: Some(now_ms + CONNECT_BACKOFF_MS) };
     }
 
-    /// Notes that a connection to the upstream broke.
+    /// Records that a connection to the upstream was reset.
     pub fn on_reset(&mut self) {
         if self.ignores_reset() {
             return;
         }
-        self.clamp();
+        self.assume_cold_start();
     }
 
-    /// Notes that the upstream stopped; no call starts until a probe is answered.
+    /// Records that the upstream stopped; no call starts until a probe is answered.
     pub fn on_stop(&mut self) {
-        self.clamp();
+        self.assume_cold_start();
         self.phase = Phase::Stopped { until_ms: None };
     }
 
-    /// Ends a backoff that is over and checks the calls in progress for a latency jump.
+    /// Ends an expired backoff and checks the calls in progress for a latency jump.
     ///
-    /// Call it before [`Capacity::can_start`] or [`Capacity::limit`].
+    /// Must be called before [`Capacity::can_start`] and [`Capacity::limit`].
     pub fn on_tick(&mut self, now_ms: u64) {
         if let Phase::Stopped { until_ms: Some(until_ms) } = self.phase
             && now_ms >= until_ms
@@ -313,7 +312,7 @@
         if self.phase != Phase::Warm {
             return;
         }
-        let Some(overdue_ratio) = self.ramp.jump_ratio() else { return };
+        let Some(overdue_ratio) = self.warm_limit.jump_ratio() else { return };
 
         let mut overdue = 0;
         for call in self.calls.values() {
@@ -324,12 +323,18 @@
             }
         }
         if overdue >= OVERDUE_CALLS {
-            self.on_jump();
+            self.on_latency_jump();
         }
     }
 
-    fn on_cold_sample(&mut self, steady: u32, last_ratio: Option<f64>, ratio: f64, ok: bool) {
-        if !ok {
+    fn on_cold_sample(
+        &mut self,
+        steady: u32,
+        last_ratio: Option<f64>,
+        ratio: f64,
+        is_success: bool,
+    ) {
+        if !is_success {
             self.phase = COLD;
             return;
         }
@@ -339,38 +344,38 @@
         let steady = if is_steady { steady + 1 } else { 1 };
         self.phase = Phase::Cold { steady, last_ratio: Some(ratio) };
         if steady >= WARM_COMPLETIONS {
-            self.become_warm();
+            self.set_warm();
         }
     }
 
-    fn on_warm_sample(&mut self, ratio: f64, ok: bool) {
-        if self.ramp.on_sample(ratio, ok) == Sample::Jump {
-            self.on_jump();
+    fn on_warm_sample(&mut self, ratio: f64, is_success: bool) {
+        if self.warm_limit.on_sample(ratio, is_success) == SampleOutcome::LatencyJump {
+            self.on_latency_jump();
         }
     }
 
-    fn on_jump(&mut self) {
-        self.clamp();
+    fn on_latency_jump(&mut self) {
+        self.assume_cold_start();
         self.distrusts_probes = true;
     }
 
-    fn become_warm(&mut self) {
+    fn set_warm(&mut self) {
         if self.phase == Phase::Warm {
             return;
         }
         self.distrusts_probes = false;
         self.phase = Phase::Warm;
-        self.ramp.restart();
+        self.warm_limit.restart();
     }
 
-    /// Assumes a cold start: whatever was known of the upstream before counts no more.
-    fn clamp(&mut self) {
+    /// Assumes a cold start: begins a new epoch, in which earlier evidence no longer counts.
+    fn assume_cold_start(&mut self) {
         self.phase = COLD;
         self.distrusts_probes = false;
         self.epoch.0 = self.epoch.0.wrapping_add(1);
     }
 
-    fn boot_id_changed(&self, boot_id: Option<u64>) -> bool {
+    fn is_boot_id_changed(&self, boot_id: Option<u64>) -> bool {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Sabotage::IgnoreBootId {
             return false;
@@ -381,11 +386,11 @@
         }
     }
 
-    fn shows_warmth(&self, probe: &Probe) -> bool {
-        self.counts_in_epoch(probe.epoch) && !self.distrusts_probes
+    fn is_evidence_of_warmth(&self, probe: &Probe) -> bool {
+        self.is_current_epoch(probe.epoch) && !self.distrusts_probes
     }
 
-    fn counts_in_epoch(&self, epoch: Epoch) -> bool {
+    fn is_current_epoch(&self, epoch: Epoch) -> bool {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Sabotage::AcceptStaleEvidence {
             return true;
@@ -401,11 +406,11 @@
         false
     }
 
-    fn warm_limit(&self) -> u32 {
+    fn current_warm_limit(&self) -> u32 {
         #[cfg(feature = "sabotage")]
         if self.sabotage == Sabotage::NoSlowStart {
             return self.config.ceiling();
         }
-        self.ramp.limit()
+        self.warm_limit.limit()
     }
 }
--- a/crates/core/src/capacity/tests.rs
+++ b/crates/core/src/capacity/tests.rs
@@ -12,21 +12,21 @@
     capacity
 }
 
-/// Runs rounds of as many calls as the limit allows, each taking `engine_ms`.
-fn run_rounds(capacity: &mut Capacity, rounds: u32, engine_ms: u64) {
+/// Runs rounds of as many calls as the limit allows, each of which takes `duration_ms`.
+fn run_rounds(capacity: &mut Capacity, rounds: u32, duration_ms: u64) {
     for _ in 0..rounds {
         let mut calls = Vec::new();
         while let Some(call) = capacity.try_start(0, 100) {
             calls.push(call);
         }
         for call in calls {
-            capacity.finish(engine_ms, call, CallEnd::Completed);
+            capacity.finish(duration_ms, call, CallEnd::Completed);
         }
     }
 }
 
 #[test]
-fn starts_cold() {
+fn unknown_upstream_is_limited_as_cold() {
     let mut capacity = Capacity::new(CONFIG);
     assert!(capacity.is_cold());
     assert!(capacity.try_start(0, 100).is_some());
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn ramps_by_doubling_once_warm() {
+fn limit_of_a_warm_upstream_doubles_up_to_the_maximum() {
     let mut capacity = warm_capacity();
     let mut limits = vec![capacity.limit()];
     for _ in 0..4 {
@@ -45,7 +45,7 @@
 }
 
 #[test]
-fn steady_completions_show_warmth_without_probes() {
+fn steady_completions_prove_warmth_without_probes() {
     let mut capacity = Capacity::new(CONFIG);
     run_rounds(&mut capacity, 1, 4_000);
     run_rounds(&mut capacity, WARM_COMPLETIONS - 1, 100);
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn changed_boot_id_reported_cold_and_reset_clamp() {
+fn new_boot_id_cold_report_or_reset_returns_to_the_cold_limit() {
     let events: [fn(&mut Capacity); 3] = [
         |it| it.on_probe(probe(it, 2, None)),
         |it| it.on_probe(probe(it, 1, Some(false))),
@@ -71,16 +71,16 @@
 }
 
 #[test]
-fn probe_sent_before_a_reset_shows_nothing() {
+fn probe_sent_before_a_reset_does_not_prove_warmth() {
     let mut capacity = warm_capacity();
-    let late = probe(&capacity, 1, Some(true));
+    let stale = probe(&capacity, 1, Some(true));
     capacity.on_reset();
-    capacity.on_probe(late);
+    capacity.on_probe(stale);
     assert!(capacity.is_cold());
 }
 
 #[test]
-fn latency_jump_clamps_on_completion_and_while_calls_hang() {
+fn latency_jump_of_completed_or_overdue_calls_is_taken_as_a_cold_start() {
     let mut capacity = warm_capacity();
     run_rounds(&mut capacity, 5, 100);
     run_rounds(&mut capacity, 1, 2_000);
@@ -96,7 +96,7 @@
 }
 
 #[test]
-fn steady_completions_rather_than_probes_end_a_latency_jump() {
+fn after_a_latency_jump_only_steady_completions_prove_warmth() {
     let mut capacity = warm_capacity();
     run_rounds(&mut capacity, 5, 100);
     run_rounds(&mut capacity, 1, 2_000);
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn congestion_lowers_the_limit_step_by_step() {
+fn congested_window_lowers_the_limit_by_a_quarter() {
     let mut capacity = warm_capacity();
     run_rounds(&mut capacity, 5, 100);
     run_rounds(&mut capacity, 1, 300);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn nothing_starts_after_a_stop_until_a_probe_is_answered() {
+fn stopped_upstream_gets_no_calls_until_a_probe_is_answered() {
     let mut capacity = warm_capacity();
     capacity.on_stop();
     assert_eq!(capacity.limit(), 0);
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn refused_connection_stops_for_a_while_and_clamps() {
+fn connect_failure_starts_a_backoff_and_returns_to_the_cold_limit() {
     let mut capacity = warm_capacity();
     run_rounds(&mut capacity, 5, 100);
     capacity.on_connect_failure(1_000);
--- a/crates/core/tests/capacity_fuzz.rs
+++ b/crates/core/tests/capacity_fuzz.rs
@@ -1,4 +1,5 @@
-//! Fuzzes the cold limit against an oracle that knows only the promise about it.
+//! Fuzzes the concurrency limit against an oracle that checks its guarantees: the cold limit holds
+//! until the upstream is proved warm, and a warm limit at most doubles per window.
 
 use std::cell::Cell;
 
@@ -20,7 +21,7 @@
     Start { expected_ms: u64 },
     Finish { index: usize, end: CallEnd },
     SendProbe,
-    AnswerProbe { index: usize, boot_id: Option<u64>, warm: Option<bool> },
+    RespondToProbe { index: usize, boot_id: Option<u64>, warm: Option<bool> },
     ConnectFailure,
     Reset,
     Stop,
@@ -39,7 +40,7 @@
         16 => (0..16_usize, end).prop_map(|(index, end)| Event::Finish { index, end }),
         6 => Just(Event::SendProbe),
         6 => (0..4_usize, prop::option::weighted(0.9, 0..3_u64), warm)
-            .prop_map(|(index, boot_id, warm)| Event::AnswerProbe { index, boot_id, warm }),
+            .prop_map(|(index, boot_id, warm)| Event::RespondToProbe { index, boot_id, warm }),
         1 => Just(Event::ConnectFailure),
         1 => Just(Event::Reset),
         1 => Just(Event::Stop),
@@ -63,43 +64,47 @@
     fn apply((): (), _: &Event) {}
 }
 
-/// What the promise says, counted in events rather than in terms of the implementation.
+/// Model of the guarantees in terms of events, independent of the implementation.
 #[derive(Default)]
 struct Oracle {
+    /// Number of events so far.
     now: u64,
+    /// Event of the last known or assumed cold start.
     last_cold: u64,
     boot_id: Option<u64>,
     warm: bool,
     completed_since_cold: u32,
+    /// Calls in progress with the event at which they started.
     calls: Vec<(CallKey, u64)>,
+    /// Unanswered probes with the event at which they were sent.
     probes: Vec<(Epoch, u64)>,
     limit: u32,
-    completed_since_raise: u32,
+    finished_since_change: u32,
 }
 
 impl Oracle {
-    fn turn_cold(&mut self) {
+    fn on_cold_start(&mut self) {
         self.last_cold = self.now;
         self.warm = false;
         self.completed_since_cold = 0;
     }
 
-    fn on_answer(&mut self, sent: u64, boot_id: Option<u64>, warm: Option<bool>) {
+    fn on_probe_response(&mut self, sent: u64, boot_id: Option<u64>, warm: Option<bool>) {
         if let (Some(old), Some(new)) = (self.boot_id, boot_id)
             && old != new
         {
-            self.turn_cold();
+            self.on_cold_start();
         }
         self.boot_id = boot_id.or(self.boot_id);
         match warm {
-            Some(false) => self.turn_cold(),
+            Some(false) => self.on_cold_start(),
             Some(true) if sent > self.last_cold => self.warm = true,
             _ => {}
         }
     }
 
     fn on_finish(&mut self, started: u64, end: CallEnd) {
-        self.completed_since_raise += 1;
+        self.finished_since_change += 1;
         if end == CallEnd::Completed && started > self.last_cold {
             self.completed_since_cold += 1;
         }
@@ -111,21 +116,30 @@
     fn check(&mut self, capacity: &Capacity) {
         let cold_limit = CONFIG.cold_concurrency;
         let limit = capacity.limit();
-        assert!(limit <= CONFIG.concurrency, "limit {limit} beyond the configured one");
+        assert!(limit <= CONFIG.concurrency, "limit {limit} exceeds the configured maximum");
         if !self.warm {
-            assert!(limit <= cold_limit, "limit {limit} while the upstream may be cold");
+            assert!(
+                limit <= cold_limit,
+                "limit {limit} exceeds the cold limit while the upstream may be cold"
+            );
         }
-        let since_cold = self.calls.iter().filter(|(_, started)| *started > self.last_cold);
+        let started_since_cold = self.calls.iter().filter(|(_, started)| *started > self.last_cold);
         if !self.warm {
-            assert!(since_cold.count() as u32 <= cold_limit, "too many calls in a cold start");
+            assert!(
+                started_since_cold.count() as u32 <= cold_limit,
+                "calls in a cold start exceed the cold limit"
+            );
         }
 
         if limit > self.limit.max(cold_limit) {
-            assert!(limit <= self.limit.max(cold_limit) * 2, "limit more than doubled");
-            assert!(self.completed_since_raise >= self.limit, "limit rose within a window");
+            assert!(
+                limit <= self.limit.max(cold_limit) * 2,
+                "limit rose by more than a factor of two"
+            );
+            assert!(self.finished_since_change >= self.limit, "limit rose before the window ended");
         }
         if limit != self.limit {
-            self.completed_since_raise = 0;
+            self.finished_since_change = 0;
         }
         self.limit = limit;
     }
@@ -147,7 +161,10 @@
                 let running = capacity.running();
                 let started = capacity.try_start(*now_ms, expected_ms);
                 let Some(key) = started else { return };
-                assert!(oracle.warm || running < CONFIG.cold_concurrency, "start while cold");
+                assert!(
+                    oracle.warm || running < CONFIG.cold_concurrency,
+                    "call beyond the cold limit started while the upstream may be cold"
+                );
                 oracle.calls.push((key, oracle.now));
             }
             Event::Finish { index, end } => {
@@ -159,24 +176,24 @@
                 capacity.finish(*now_ms, key, end);
             }
             Event::SendProbe => oracle.probes.push((capacity.epoch(), oracle.now)),
-            Event::AnswerProbe { index, boot_id, warm } => {
+            Event::RespondToProbe { index, boot_id, warm } => {
                 if oracle.probes.is_empty() {
                     return;
                 }
                 let (epoch, sent) = oracle.probes.swap_remove(index % oracle.probes.len());
-                oracle.on_answer(sent, boot_id, warm);
+                oracle.on_probe_response(sent, boot_id, warm);
                 capacity.on_probe(Probe { epoch, boot_id, warm });
             }
             Event::ConnectFailure => {
-                oracle.turn_cold();
+                oracle.on_cold_start();
                 capacity.on_connect_failure(*now_ms);
             }
             Event::Reset => {
-                oracle.turn_cold();
+                oracle.on_cold_start();
                 capacity.on_reset();
             }
             Event::Stop => {
-                oracle.turn_cold();
+                oracle.on_cold_start();
                 capacity.on_stop();
             }
         }
@@ -229,13 +246,13 @@
 }
 
 #[test]
-fn cold_limit_holds() {
+fn limit_never_exceeds_the_cold_limit_before_warmth_is_proved() {
     run(Sabotage::None).unwrap();
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn oracle_notices_each_disabled_mechanism() {
+fn oracle_detects_each_disabled_mechanism() {
     let mechanisms = [
         Sabotage::IgnoreBootId,
         Sabotage::IgnoreReset,
@@ -244,6 +261,6 @@
         Sabotage::NoSlowStart,
     ];
     for sabotage in mechanisms {
-        assert!(run(sabotage).is_err(), "{sabotage:?} went unnoticed");
+        assert!(run(sabotage).is_err(), "{sabotage:?} was not detected");
     }
 }
