--- a/crates/core/tests/attempt_fuzz.rs
+++ b/crates/core/tests/attempt_fuzz.rs
@@ -308,10 +308,10 @@
     for sabotage in [
         Sabotage::Tombstone,
         Sabotage::TombstoneRetention,
-        Sabotage::JoinRepeatedSubmit,
+        Sabotage::DeduplicateSubmits,
         Sabotage::DispatchLimit,
         Sabotage::UnknownAfterEviction,
     ] {
-        fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage)));
+        fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage)));
     }
 }
--- /dev/null
+++ b/crates/entry/src/relay/peers/hello.rs
@@ -0,0 +1,198 @@
+//! Polls another entry with hellos, and fetches its configuration and lists where they are newer.
+
+#[cfg(test)]
+mod tests;
+
+use std::{net::SocketAddr, sync::Arc, time::Duration};
+
+use log::{info, warn};
+use tarpc::client::Config;
+use tokio_util::sync::CancellationToken;
+use yuccatrail_core::{route_table::RouteTable, upstreams::ListRevisions};
+use yuccatrail_rpc::{
+    entries::{EntryAddress, EntryPeerClient},
+    transport,
+};
+
+use crate::relay::{
+    feed::log_evacuations,
+    peers::{Peer, context_for, record_address},
+    state::{Relay, lock},
+};
+
+/// Timeout of a hello, after which the entry counts as lost, in milliseconds; an entry short of CPU
+/// time responds within a hundred.
+const HELLO_TIMEOUT_MS: u64 = 700;
+/// Delay before reconnecting, in milliseconds.
+const RECONNECT_MS: u64 = 300;
+/// Time for the platform to deliver a configuration that another entry already has before it is
+/// fetched from there, in milliseconds. The platform collects changes for 250 ms before it responds;
+/// the upper bound for a change is two seconds.
+const PLATFORM_DELIVERY_GRACE_MS: u64 = 600;
+
+/// Decides when to fetch a configuration that another entry has and this one lacks.
+#[derive(Default)]
+pub(super) struct MissingConfiguration {
+    /// Version that another entry first reported, and the time of that, in milliseconds.
+    first_offer: Option<(u64, u64)>,
+    /// Time at which the fetch in progress times out, in milliseconds; 0 if there is none.
+    fetching_until_ms: u64,
+}
+
+impl MissingConfiguration {
+    /// Records that another entry has version `offered`; tells whether to fetch it now.
+    ///
+    /// Transferring a configuration takes tens of milliseconds on a slow link, so it is fetched only if
+    /// the platform has not delivered it in time, and from one entry at a time. An entry without a
+    /// configuration fetches one at once.
+    fn begin_fetch(&mut self, own: Option<u64>, offered: u64, now_ms: u64) -> bool {
+        let (_, since_ms) = match self.first_offer.filter(|(version, _)| own < Some(*version)) {
+            Some(first_offer) => first_offer,
+            None => *self.first_offer.insert((offered, now_ms)),
+        };
+        let is_within_grace = own.is_some() && now_ms < since_ms + PLATFORM_DELIVERY_GRACE_MS;
+        if is_within_grace || now_ms < self.fetching_until_ms {
+            return false;
+        }
+        self.fetching_until_ms = now_ms + HELLO_TIMEOUT_MS;
+        true
+    }
+}
+
+/// Keeps a connection to an entry and polls it until `stop` is cancelled.
+pub(super) async fn poll_entry(
+    relay: Arc<Relay>,
+    name: String,
+    address: SocketAddr,
+    stop: CancellationToken,
+) {
+    while !stop.is_cancelled() {
+        let detail = tokio::select! {
+            detail = exchange_hellos(&relay, &name, address, &stop) => detail,
+            () = stop.cancelled() => return,
+        };
+        relay.peers.record_loss(&name, &detail, &stop);
+        tokio::time::sleep(Duration::from_millis(RECONNECT_MS)).await;
+    }
+}
+
+/// Connects to an entry and sends hellos until one fails; returns the reason of the failure.
+async fn exchange_hellos(
+    relay: &Arc<Relay>,
+    name: &str,
+    address: SocketAddr,
+    stop: &CancellationToken,
+) -> String {
+    let limit = Duration::from_millis(HELLO_TIMEOUT_MS);
+    let transport = match tokio::time::timeout(limit, transport::connect(address)).await {
+        Ok(Ok(transport)) => transport,
+        Ok(Err(error)) => return error.to_string(),
+        Err(_) => return "connecting timed out".to_owned(),
+    };
+    let client = EntryPeerClient::new(Config::default(), Box::pin(transport)).spawn();
+    let peer = Peer { name: name.to_owned(), client, lost: CancellationToken::new() };
+    let mut has_entries = false;
+    loop {
+        let strikes = relay.crashes.recent(relay.now_ms());
+        let hello = peer.client.hello(context_for(HELLO_TIMEOUT_MS), own_address(relay), strikes);
+        match tokio::time::timeout(limit, hello).await {
+            Ok(Ok(reply)) => {
+                fetch_newer_configuration(relay, &peer, reply.config_version).await;
+                fetch_newer_lists(relay, &peer, reply.list_revisions).await;
+                relay.crashes.merge(&reply.strikes, relay.now_ms());
+                relay.peers.record_reply(name, reply, &peer, stop);
+                if !has_entries {
+                    has_entries = fetch_entries(relay, &peer).await;
+                }
+            }
+            Ok(Err(error)) => return error.to_string(),
+            Err(_) => return "hello timed out".to_owned(),
+        }
+        tokio::time::sleep(Duration::from_millis(relay.peers.hello_interval_ms())).await;
+    }
+}
+
+fn own_address(relay: &Relay) -> EntryAddress {
+    EntryAddress {
+        name: relay.settings.name.clone(),
+        peer_address: relay.settings.peer_listen,
+        cpu_share: relay.settings.cpu_share,
+    }
+}
+
+/// Fetches the list of entries from another entry if the platform has not delivered it; returns
+/// false if that failed.
+async fn fetch_entries(relay: &Relay, peer: &Peer) -> bool {
+    if relay.upstreams().has_platform_list() {
+        return true;
+    }
+    match peer.client.entries(context_for(HELLO_TIMEOUT_MS)).await {
+        Ok(entries) => {
+            info!(entry:% = peer.name, entries = entries.len(); "fetched entries from another entry");
+            for entry in entries {
+                record_address(relay, entry);
+            }
+            true
+        }
+        Err(error) => {
+            warn!(entry:% = peer.name, error:% = error; "failed to fetch entries from another entry");
+            false
+        }
+    }
+}
+
+/// Fetches and activates a newer configuration that the store has delivered to another entry.
+async fn fetch_newer_configuration(relay: &Relay, peer: &Peer, version: Option<u64>) {
+    let own = relay.table().map(|it| it.version());
+    let Some(offered) = version.filter(|it| Some(*it) > own) else { return };
+    if !lock(&relay.peers.missing_configuration).begin_fetch(own, offered, relay.now_ms()) {
+        return;
+    }
+    match peer.client.configuration(context_for(HELLO_TIMEOUT_MS)).await {
+        Ok(Some(configuration)) => {
+            let table = RouteTable::new(Arc::unwrap_or_clone(configuration));
+            // The platform has not delivered it in time, so the pending long polls may never get a
+            // response.
+            if relay.activate_configuration(table, &peer.name) && own.is_some() {
+                warn!(entry:% = peer.name; "platform did not deliver a configuration in time, relisting");
+                relay.relist();
+            }
+        }
+        Ok(None) => {}
+        Err(error) => warn!(entry:% = peer.name, error:% = error; "failed to fetch configuration"),
+    }
+    lock(&relay.peers.missing_configuration).fetching_until_ms = 0;
+}
+
+/// Fetches newer lists from an entry that follows the platform while this one does not.
+async fn fetch_newer_lists(relay: &Arc<Relay>, peer: &Peer, revisions: Option<ListRevisions>) {
+    let is_newer = |it: ListRevisions| it.has_newer_than(relay.upstreams().revisions());
+    if relay.follows_platform() || !revisions.is_some_and(is_newer) {
+        return;
+    }
+    let lists = match peer.client.beliefs(context_for(HELLO_TIMEOUT_MS)).await {
+        Ok(Some(lists)) => lists,
+        Ok(None) => return,
+        Err(error) => {
+            warn!(entry:% = peer.name, error:% = error; "failed to fetch newer lists");
+            return;
+        }
+    };
+    // The platform's lists may have arrived meanwhile.
+    if relay.follows_platform() {
+        return;
+    }
+    let now_ms = relay.now_ms();
+    let mut upstreams = relay.upstreams();
+    info!(
+        entry:% = peer.name,
+        upstreams = lists.upstreams.len(),
+        revision = lists.revisions.upstreams,
+        known_revision = upstreams.revisions().upstreams;
+        "fetched lists from another entry"
+    );
+    let changed = upstreams.adopt_newer(lists, now_ms);
+    drop(upstreams);
+    log_evacuations(&changed);
+    relay.stages.start_all_calls(relay);
+}
--- a/crates/entry/src/relay/plain.rs
+++ b/crates/entry/src/relay/plain.rs
@@ -1,4 +1,4 @@
-//! Calls of plain services, which answer with one body.
+//! Requests of non-streaming routes, which an upstream answers with a single body.
 
 use std::{sync::Arc, time::Duration};
 
@@ -6,77 +6,78 @@
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::{Response, StatusCode};
 use log::{info, warn};
-use yuccatrail_adapter::{UpstreamAnswer, passed_on};
+use yuccatrail_adapter::{ResponseMeta, forwarded_headers};
 use yuccatrail_core::upstreams::{SelectionCriteria, UpstreamKey};
 
 use crate::relay::{
-    attempt::{Attempt, AttemptError, check_signature},
-    crashes::note_loss,
+    attempt::{Attempt, AttemptError, check_seal},
+    crashes::check_for_crash,
     metrics::ServiceLabels,
-    request::{AnswerBody, CallerRequest, Refusal},
+    request::{CallerRequest, Refusal, ResponseBody},
     sabotage::Mechanism,
     state::Relay,
 };
 
-/// Largest answer that is read, in bytes; an answer is read whole before it is passed on.
-const MAX_ANSWER_BYTES: usize = 16 * 1024 * 1024;
-/// Shortest time that an upstream gets before another is called, in milliseconds.
-const MIN_TRY_MS: u64 = 200;
-/// Part of the aim after which an idempotent call is made again elsewhere.
-const TRY_PART_OF_AIM: f64 = 1.5;
-/// Upstreams that are tried before a call is refused.
+/// Maximum size of a response body, in bytes; a response is buffered before it is forwarded.
+const MAX_RESPONSE_BYTES: usize = 16 * 1024 * 1024;
+/// Minimum timeout of an attempt before another upstream is called, in milliseconds.
+const MIN_TRY_TIMEOUT_MS: u64 = 200;
+/// Multiple of the route's target latency after which an idempotent call is retried at another
+/// upstream.
+const TRY_TIMEOUT_FACTOR: f64 = 1.5;
+/// Number of upstreams to try before a call is refused.
 const MAX_TRIES: usize = 6;
-/// Wait that is proposed when no upstream takes the call, in milliseconds: a few calls' time.
+/// Retry-After when no upstream accepts the call, in milliseconds; the duration of a few calls.
 const BUSY_RETRY_MS: u64 = 200;
 
-/// What an answered attempt brought.
-enum Tried {
-    /// An answer to pass on.
-    Answer(Response<AnswerBody>),
-    /// A failure that the upstream reported, which is passed on if nothing better comes.
-    Failure(Response<AnswerBody>),
-    /// The upstream did not run the call.
+/// Result of an attempt that got a response.
+enum TryOutcome {
+    /// A response to forward.
+    Answer(Response<ResponseBody>),
+    /// A server error of the upstream, forwarded if no later attempt gets a better response.
+    Failure(Response<ResponseBody>),
+    /// The upstream states that it did not run the call.
     NotRun,
 }
 
-/// Serves a call of a plain service.
+/// Serves a request of a non-streaming route.
 pub(crate) async fn serve(
     relay: &Arc<Relay>,
     request: &Arc<CallerRequest>,
-) -> Result<Response<AnswerBody>, Refusal> {
-    let route = &request.admission.route;
+) -> Result<Response<ResponseBody>, Refusal> {
+    let route = &request.authorized.route;
     let is_sent_once = !Mechanism::SendOnce.is_off();
     let max_runs = if is_sent_once { route.max_runs() } else { route.max_attempts };
     let mut tried: Vec<UpstreamKey> = Vec::new();
-    let (mut runs, mut arrivals) = (0, 0);
+    let (mut runs, mut reached) = (0, 0);
     let mut failure = None;
     while tried.len() < MAX_TRIES && (runs == 0 || runs < max_runs) {
-        relay.until_fresh().await;
-        let Some(mut attempt) = next_upstream(relay, request, &tried) else { break };
-        if arrivals > 0 && !take_retry(relay, request) {
+        relay.wait_until_fresh().await;
+        let Some(mut attempt) = begin_next_attempt(relay, request, &tried) else { break };
+        if reached > 0 && !take_retry(relay, request) {
             break;
         }
         tried.push(attempt.key);
         log_choice(relay, request, &attempt, tried.len());
-        let limit_ms = try_limit_ms(request, runs + 1 < max_runs, relay.now_ms());
+        let limit_ms = try_timeout_ms(request, runs + 1 < max_runs, relay.now_ms());
         let limit = Duration::from_millis(limit_ms);
         let outcome = tokio::time::timeout(limit, try_once(relay, request, &mut attempt)).await;
-        let outcome =
-            outcome.unwrap_or_else(|_| Err(AttemptError::Lost(format!("none in {limit_ms} ms"))));
+        let outcome = outcome
+            .unwrap_or_else(|_| Err(AttemptError::Lost(format!("none within {limit_ms} ms"))));
         match outcome {
-            Ok((result, answer)) => {
-                attempt.finish(&answer);
-                arrivals += 1;
+            Ok((result, meta)) => {
+                attempt.finish(&meta);
+                reached += 1;
                 match result {
-                    Tried::Answer(response) => {
+                    TryOutcome::Answer(response) => {
                         relay.crashes.note_completed(request, relay.now_ms());
                         return Ok(response);
                     }
-                    Tried::Failure(response) => {
+                    TryOutcome::Failure(response) => {
                         runs += 1;
                         failure = Some(response);
                     }
-                    Tried::NotRun => {}
+                    TryOutcome::NotRun => {}
                 }
             }
             Err(error) => {
@@ -87,14 +88,14 @@
                     "attempt failed"
                 );
                 if matches!(error, AttemptError::Lost(_)) {
-                    note_loss(relay, request, &attempt.record);
+                    check_for_crash(relay, request, &attempt.record);
                 }
                 attempt.fail();
                 if request.remaining_ms(relay.now_ms()) == 0 {
                     return Err(Refusal::timed_out("time_over"));
                 }
                 if !matches!(error, AttemptError::Unreachable(_)) {
-                    (runs, arrivals) = (runs + 1, arrivals + 1);
+                    (runs, reached) = (runs + 1, reached + 1);
                 }
             }
         }
@@ -117,23 +118,23 @@
     );
 }
 
-fn next_upstream(
+fn begin_next_attempt(
     relay: &Arc<Relay>,
     request: &CallerRequest,
     tried: &[UpstreamKey],
 ) -> Option<Attempt> {
-    let wanted = SelectionCriteria {
+    let criteria = SelectionCriteria {
         service: &request.service,
         data_centre: Some(&relay.settings.data_centre),
         excluded: tried,
         ..SelectionCriteria::default()
     };
     let now_ms = relay.now_ms();
-    let key = relay.upstreams().choose(&wanted, now_ms)?;
+    let key = relay.upstreams().choose(&criteria, now_ms)?;
     Attempt::begin(relay, key)
 }
 
-/// Counts a call to another upstream against the budget.
+/// Takes one retry from the service's retry budget; tells whether the budget allowed it.
 pub(crate) fn take_retry(relay: &Relay, request: &CallerRequest) -> bool {
     let entries = relay.upstreams().entry_count();
     let is_allowed = relay.retries().take(&request.service, entries, relay.now_ms());
@@ -141,56 +142,60 @@
         let labels = ServiceLabels { service: request.service.to_string() };
         relay.metrics.retries.get_or_create(&labels).inc();
     } else {
-        info!(id:% = request.id, service:% = request.service; "retry budget is spent");
+        info!(id:% = request.id, service:% = request.service; "retry budget exhausted");
     }
     is_allowed
 }
 
-fn try_limit_ms(request: &CallerRequest, may_repeat: bool, now_ms: u64) -> u64 {
+fn try_timeout_ms(request: &CallerRequest, may_repeat: bool, now_ms: u64) -> u64 {
     let remaining_ms = request.remaining_ms(now_ms);
     if !may_repeat {
         return remaining_ms;
     }
-    let part_ms = request.admission.route.target_latency_ms as f64 * TRY_PART_OF_AIM;
-    (part_ms as u64).max(MIN_TRY_MS).min(remaining_ms)
+    let scaled_ms = request.authorized.route.target_latency_ms as f64 * TRY_TIMEOUT_FACTOR;
+    (scaled_ms as u64).max(MIN_TRY_TIMEOUT_MS).min(remaining_ms)
 }
 
 async fn try_once(
     relay: &Relay,
     request: &CallerRequest,
     attempt: &mut Attempt,
-) -> Result<(Tried, UpstreamAnswer), AttemptError> {
-    let outgoing = request.outgoing(&attempt.record, relay.now_ms(), None, None);
-    let (response, answer) = request.send(attempt, &outgoing).await?;
+) -> Result<(TryOutcome, ResponseMeta), AttemptError> {
+    let upstream_request = request.upstream_request(&attempt.record, relay.now_ms(), None, None);
+    let (response, meta) = request.send(attempt, &upstream_request).await?;
     let (parts, body) = response.into_parts();
-    let body = Limited::new(body, MAX_ANSWER_BYTES).collect().await;
+    let body = Limited::new(body, MAX_RESPONSE_BYTES).collect().await;
     let body = body.map_err(|error| AttemptError::Lost(error.to_string()))?.to_bytes();
-    if answer.is_not_run {
-        return Ok((Tried::NotRun, answer));
+    if meta.is_not_run {
+        return Ok((TryOutcome::NotRun, meta));
     }
-    check_signature(parts.status, &answer)?;
-    let response = pass_on(parts.status, &parts.headers, body);
-    let tried = if parts.status.is_server_error() {
-        Tried::Failure(response)
+    check_seal(parts.status, &meta)?;
+    let response = forward_response(parts.status, &parts.headers, body);
+    let outcome = if parts.status.is_server_error() {
+        TryOutcome::Failure(response)
     } else {
-        Tried::Answer(response)
+        TryOutcome::Answer(response)
     };
     let took_ms = relay.now_ms().saturating_sub(request.arrived_ms);
     info!(
         id:% = request.id,
-        route:% = request.admission.route.name,
+        route:% = request.authorized.route.name,
         upstream:% = attempt.record.id,
         status = parts.status.as_u16(),
         took_ms = took_ms;
         "upstream answered"
     );
-    Ok((tried, answer))
+    Ok((outcome, meta))
 }
 
-fn pass_on(status: StatusCode, headers: &hyper::HeaderMap, body: Bytes) -> Response<AnswerBody> {
+fn forward_response(
+    status: StatusCode,
+    headers: &hyper::HeaderMap,
+    body: Bytes,
+) -> Response<ResponseBody> {
     let body = Full::new(body).map_err(|never| match never {}).boxed_unsync();
     let mut response = Response::new(body);
     *response.status_mut() = status;
-    *response.headers_mut() = passed_on(headers);
+    *response.headers_mut() = forwarded_headers(headers);
     response
 }
--- a/crates/entry/src/relay/release.rs
+++ b/crates/entry/src/relay/release.rs
@@ -1,4 +1,4 @@
-//! Releases results that nobody needs any more, several at a time.
+//! Releases stage results that are no longer needed at the upstreams that hold them, in batches.
 
 use std::{
     mem,
@@ -7,7 +7,7 @@
 };
 
 use log::warn;
-use yuccatrail_adapter::{FREE_PATH, encode_free, maker_of};
+use yuccatrail_adapter::{RELEASE_PATH, encode_release, result_holder};
 use yuccatrail_core::{FastMap, stage_graph::ResultHandle, upstreams::UpstreamKey};
 
 use crate::relay::{
@@ -16,18 +16,20 @@
     state::{Relay, lock},
 };
 
-/// Time for which an owner is given results to release, in milliseconds: their lifetime.
-const RELEASE_LIMIT_MS: u64 = 4_000;
+/// Timeout for delegating releases to an owner, in milliseconds; results expire after this time
+/// anyway.
+const DELEGATE_TIMEOUT_MS: u64 = 4_000;
 
-/// Results to release, by the upstream that holds them.
+/// Results to release, by the address of the upstream that holds them.
 #[derive(Debug, Default)]
-pub(crate) struct Releases {
+pub(crate) struct ResultReleases {
+    /// Results that have not been passed to the owner of their service yet.
     waiting: Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>,
-    /// Results that another entry has left to this one, as the owner of their service.
-    own: Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>,
+    /// Results of services that this entry owns, or whose release another entry delegated to it.
+    delegated: Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>,
 }
 
-/// Results of one request that are released when it ends, however that happens.
+/// Results of one request, which are released when it ends for any reason.
 pub(crate) struct HeldResults {
     relay: Arc<Relay>,
     handles: Vec<ResultHandle>,
@@ -40,102 +42,105 @@
 }
 
 impl HeldResults {
-    /// Creates a holder without results.
+    /// Creates an empty set of results.
     pub(crate) fn new(relay: Arc<Relay>) -> Self {
         Self { relay, handles: Vec::new() }
     }
 
-    /// Takes responsibility for results.
+    /// Adds results.
     pub(crate) fn hold(&mut self, handles: &[ResultHandle]) {
         self.handles.extend_from_slice(handles);
     }
 
-    /// Releases some of the results.
+    /// Releases some of the results now.
     pub(crate) fn release(&mut self, handles: &[ResultHandle]) {
         self.handles.retain(|it| !handles.contains(it));
         self.relay.releases.add(handles.to_vec());
     }
 
-    /// Releases all results.
+    /// Releases all results now.
     pub(crate) fn release_all(&mut self) {
         self.relay.releases.add(mem::take(&mut self.handles));
     }
 }
 
-impl Releases {
-    /// Notes results that nobody needs any more.
+impl ResultReleases {
+    /// Queues results for release.
     pub(crate) fn add(&self, handles: Vec<ResultHandle>) {
-        sort_in(&self.waiting, handles);
+        queue_by_holder(&self.waiting, handles);
     }
 
-    /// Notes results whose release another entry has left to this one.
-    pub(crate) fn add_own(&self, handles: Vec<ResultHandle>) {
-        sort_in(&self.own, handles);
+    /// Queues results for release by this entry, as the owner of their service.
+    pub(crate) fn add_delegated(&self, handles: Vec<ResultHandle>) {
+        queue_by_holder(&self.delegated, handles);
     }
 
-    /// Leaves results to the owners of their services, and releases the own ones with one call for
-    /// each upstream.
-    pub(crate) fn send_all(&self, relay: &Arc<Relay>) {
+    /// Delegates queued results to the owners of their services, and releases those of this entry's own
+    /// services with one call for each upstream.
+    pub(crate) fn flush(&self, relay: &Arc<Relay>) {
         let waiting = mem::take(&mut *lock(&self.waiting));
-        for (maker, handles) in waiting {
-            match owner_of(relay, maker) {
-                Owner::Other(peer) => {
-                    tokio::spawn(leave_to(peer, handles));
+        for (holder, handles) in waiting {
+            match owner_of(relay, holder) {
+                Owner::Remote(peer) => {
+                    tokio::spawn(delegate(peer, handles));
                 }
-                Owner::Own => self.add_own(handles),
+                Owner::Local => self.add_delegated(handles),
             }
         }
-        let own = mem::take(&mut *lock(&self.own));
-        for (maker, handles) in own {
-            // Results do not outlive their maker.
-            let Some(key) = relay.upstreams().at_address(maker) else { continue };
+        let delegated = mem::take(&mut *lock(&self.delegated));
+        for (holder, handles) in delegated {
+            // Results do not outlive the upstream that holds them.
+            let Some(key) = relay.upstreams().at_address(holder) else { continue };
             tokio::spawn(release(relay.clone(), key, handles));
         }
     }
 }
 
-fn sort_in(waiting: &Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>, handles: Vec<ResultHandle>) {
+fn queue_by_holder(
+    waiting: &Mutex<FastMap<SocketAddr, Vec<ResultHandle>>>,
+    handles: Vec<ResultHandle>,
+) {
     let mut waiting = lock(waiting);
     for handle in handles {
-        let Some(maker) = maker_of(&handle) else {
-            warn!(handle:% = handle; "result names no maker; it expires by itself");
+        let Some(holder) = result_holder(&handle) else {
+            warn!(handle:% = handle; "result handle has no address; the result expires by itself");
             continue;
         };
-        waiting.entry(maker).or_default().push(handle);
+        waiting.entry(holder).or_default().push(handle);
     }
 }
 
-fn owner_of(relay: &Relay, maker: SocketAddr) -> Owner {
-    let service = relay.upstreams().service_at(maker).cloned();
+fn owner_of(relay: &Relay, holder: SocketAddr) -> Owner {
+    let service = relay.upstreams().service_at(holder).cloned();
     match service {
         Some(service) => relay.peers.owner(relay, &service),
-        None => Owner::Own,
+        None => Owner::Local,
     }
 }
 
-async fn leave_to(peer: Peer, handles: Vec<ResultHandle>) {
-    if let Err(error) = peer.client.release(context_for(RELEASE_LIMIT_MS), handles).await {
-        warn!(error:% = error; "release was not left to the owner; the results expire by themselves");
+async fn delegate(peer: Peer, handles: Vec<ResultHandle>) {
+    if let Err(error) = peer.client.release(context_for(DELEGATE_TIMEOUT_MS), handles).await {
+        warn!(error:% = error; "failed to delegate release to the owner; the results expire by themselves");
     }
 }
 
 async fn release(relay: Arc<Relay>, key: UpstreamKey, handles: Vec<ResultHandle>) {
-    let body = match encode_free(&handles) {
+    let body = match encode_release(&handles) {
         Ok(body) => body,
         Err(error) => {
-            warn!(error:% = error; "release can't be encoded; the results expire by themselves");
+            warn!(error:% = error; "failed to encode release; the results expire by themselves");
             return;
         }
     };
     let Some(mut attempt) = Attempt::begin(&relay, key) else { return };
-    match attempt.post(FREE_PATH, body).await {
-        Ok((_, answer, _)) => {
-            attempt.finish(&answer);
+    match attempt.post(RELEASE_PATH, body).await {
+        Ok((_, meta, _)) => {
+            attempt.finish(&meta);
             relay.stages.note_released(&relay, &handles);
         }
         Err(error) => {
             let upstream = &attempt.record.id;
-            warn!(upstream:% = upstream, results = handles.len(), error:% = error; "release failed");
+            warn!(upstream:% = upstream, results = handles.len(), error:% = error; "release of results failed");
         }
     }
 }
