--- a/crates/core/src/membership/directory.rs
+++ b/crates/core/src/membership/directory.rs
@@ -1,4 +1,4 @@
-//! Directory of the instances that an entry knows.
+//! Directory of the instances known to an entry.
 
 use std::sync::Arc;
 
@@ -10,21 +10,21 @@
 };
 
 new_key_type! {
-    /// Key of an upstream in a [`Directory`]; it stays valid while the upstream is listed or has
-    /// work in progress.
+    /// Key of an upstream in a [`Directory`], valid while the upstream is listed or has calls in
+    /// progress.
     pub struct UpstreamKey;
 }
 
-/// The platform's list of instances at one version.
+/// One version of the platform's instance list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct InstanceList {
-    /// Version of the list, which rises with each change.
+    /// Version number, which increases with each change.
     pub version: u64,
-    /// The instances.
+    /// All listed instances.
     pub instances: Vec<InstanceRecord>,
 }
 
-/// Instances that an entry knows, with what it learned about them by direct contact.
+/// Instances known to an entry, with the reports of their agents.
 #[derive(Clone, Debug)]
 pub struct Directory {
     upstreams: SlotMap<UpstreamKey, Upstream>,
@@ -54,13 +54,13 @@
         }
     }
 
-    /// Turns one mechanism off.
+    /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
         self.switch.turn_off(mechanism);
     }
 
-    /// Takes over the instance list; returns false if a newer one is known.
+    /// Applies an instance list; returns false if a newer one is known.
     pub fn apply_list(&mut self, list: InstanceList) -> bool {
         if list.version < self.list_version && !self.switch.is_off(Sabotage::ListVersionCheck) {
             return false;
@@ -72,15 +72,15 @@
             match record.role {
                 InstanceRole::Entry => self.entries.push(record),
                 InstanceRole::Upstream => {
-                    listed.insert(self.list_upstream(record));
+                    listed.insert(self.upsert_listed(record));
                 }
             }
         }
-        self.unlist_others(&listed);
+        self.unlist_all_except(&listed);
         true
     }
 
-    /// Takes over the operational state unless a newer one is known.
+    /// Applies the operational state unless a newer one is known.
     pub fn set_operations(&mut self, operations: &Arc<OperationsRecord>) {
         if self.switch.is_off(Sabotage::Operations) {
             return;
@@ -90,53 +90,53 @@
         }
         self.operations = Some(Arc::clone(operations));
         for upstream in self.upstreams.values_mut() {
-            operate(upstream, operations);
+            apply_operations(upstream, operations);
         }
     }
 
-    /// Takes over an answer of an agent.
+    /// Applies the report from a response of an agent.
     ///
-    /// Returns the run of the agent that this answer shows to be gone; attempts that were handed to
-    /// it have lost their agent.
+    /// Returns the incarnation of the agent process that the report shows to have ended; attempts
+    /// submitted to it are lost.
     pub fn contact_succeeded(
         &mut self,
         key: UpstreamKey,
         report: AgentReport,
     ) -> Option<Incarnation> {
-        self.upstreams.get_mut(key)?.contacted(report, &self.switch)
+        self.upstreams.get_mut(key)?.apply_report(report, &self.switch)
     }
 
-    /// Notes at `now_ms` that an agent could not be reached or did not answer in time.
+    /// Records at `now_ms` that an agent could not be reached or did not respond in time.
     ///
-    /// The upstream gets no new work until its agent answers a question that was sent later.
+    /// The upstream gets no new work until its agent responds to a request that was sent later.
     pub fn contact_failed(&mut self, key: UpstreamKey, now_ms: u64) {
         if self.switch.is_off(Sabotage::ContactFailure) {
             return;
         }
         if let Some(upstream) = self.upstreams.get_mut(key) {
-            upstream.contact_failed(now_ms);
+            upstream.record_failure(now_ms);
         }
     }
 
-    /// Notes that a call for the upstream begins.
+    /// Records that a call to the upstream begins.
     pub fn begin_work(&mut self, key: UpstreamKey) {
         if let Some(upstream) = self.upstreams.get_mut(key) {
             upstream.begin_work();
         }
     }
 
-    /// Notes that a call for the upstream has ended.
+    /// Records that a call to the upstream has ended.
     pub fn end_work(&mut self, key: UpstreamKey) {
         let Some(upstream) = self.upstreams.get_mut(key) else {
             return;
         };
         upstream.end_work();
-        if upstream.is_forgettable() {
-            self.forget(key);
+        if upstream.is_removable() {
+            self.remove(key);
         }
     }
 
-    /// Lists the upstreams of a pool that may get new work.
+    /// Returns the upstreams of a pool that are eligible for new work.
     pub fn candidates(&self, pool: &str) -> Vec<UpstreamKey> {
         let mut candidates = Vec::new();
         for (key, upstream) in &self.upstreams {
@@ -148,7 +148,11 @@
         candidates
     }
 
-    /// Tells whether an upstream may get new work, or why not.
+    /// Checks whether an upstream is eligible for new work.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if it is not.
     pub fn check(&self, key: UpstreamKey) -> Result<(), Reason> {
         match self.upstreams.get(key) {
             Some(upstream) => upstream.check(),
@@ -156,40 +160,40 @@
         }
     }
 
-    /// Finds an upstream by key.
+    /// Returns an upstream by its key.
     pub fn upstream(&self, key: UpstreamKey) -> Option<&Upstream> {
         self.upstreams.get(key)
     }
 
-    /// Finds the key of an upstream by name.
+    /// Returns the key of an upstream by its name.
     pub fn key(&self, name: &str) -> Option<UpstreamKey> {
         self.keys_by_name.get(name).copied()
     }
 
-    /// Iterates over all upstreams that are listed or have work in progress.
+    /// Iterates over all upstreams that are listed or have calls in progress.
     pub fn upstreams(&self) -> impl Iterator<Item = (UpstreamKey, &Upstream)> {
         self.upstreams.iter()
     }
 
-    /// Entries in the list.
+    /// Returns the entries in the instance list.
     pub fn entries(&self) -> &[InstanceRecord] {
         &self.entries
     }
 
-    /// Version of the list in use; zero before the first.
+    /// Returns the version of the applied instance list, or zero before the first.
     pub fn list_version(&self) -> u64 {
         self.list_version
     }
 
-    /// Adds or renews one upstream of the list.
+    /// Adds or updates one upstream of the instance list.
     ///
-    /// Another address means another process, of which nothing is known yet, so it gets a key of
-    /// its own; late answers of the former one then can't pass for its own.
-    fn list_upstream(&mut self, record: InstanceRecord) -> UpstreamKey {
+    /// A changed address means a new process without reports, so it gets a key of its own. Late
+    /// responses of the former process are then not attributed to the new one.
+    fn upsert_listed(&mut self, record: InstanceRecord) -> UpstreamKey {
         let known = self.key(&record.name);
         let key = match known.filter(|it| self.upstreams[*it].address() == record.address) {
             Some(key) => {
-                self.upstreams[key].relist(record, &self.switch);
+                self.upstreams[key].update_record(record, &self.switch);
                 key
             }
             None => {
@@ -200,40 +204,40 @@
             }
         };
         if let Some(operations) = &self.operations {
-            operate(&mut self.upstreams[key], operations);
+            apply_operations(&mut self.upstreams[key], operations);
         }
         key
     }
 
-    /// Takes new work from all upstreams that are not in the list and forgets those without work.
-    fn unlist_others(&mut self, listed: &FastSet<UpstreamKey>) {
-        let mut forgettable = Vec::new();
+    /// Marks all upstreams other than `listed` as unlisted, and removes those without calls.
+    fn unlist_all_except(&mut self, listed: &FastSet<UpstreamKey>) {
+        let mut removable = Vec::new();
         for (key, upstream) in &mut self.upstreams {
             if listed.contains(&key) {
                 continue;
             }
             upstream.is_listed = self.switch.is_off(Sabotage::ListMembership);
-            if upstream.is_forgettable() {
-                forgettable.push(key);
+            if upstream.is_removable() {
+                removable.push(key);
             }
         }
-        for key in forgettable {
-            self.forget(key);
+        for key in removable {
+            self.remove(key);
         }
     }
 
-    fn forget(&mut self, key: UpstreamKey) {
+    fn remove(&mut self, key: UpstreamKey) {
         let Some(upstream) = self.upstreams.remove(key) else {
             return;
         };
-        // The name may belong to a newer process by now.
+        // The name may already refer to a newer process.
         if self.key(upstream.name()) == Some(key) {
             self.keys_by_name.remove(upstream.name());
         }
     }
 }
 
-fn operate(upstream: &mut Upstream, operations: &OperationsRecord) {
+fn apply_operations(upstream: &mut Upstream, operations: &OperationsRecord) {
     upstream.is_out = operations.is_data_centre_out(upstream.data_centre());
     upstream.is_leaving = operations.is_upstream_leaving(upstream.name());
 }
--- a/crates/core/src/membership/mod.rs
+++ b/crates/core/src/membership/mod.rs
@@ -1,7 +1,9 @@
-//! Instances of the fleet, known from the platform's lagging list and from direct contact.
+//! Instances of the fleet, known from the platform's instance list, which lags, and from reports of
+//! their agents.
 //!
-//! A [`Directory`] decides which upstreams may get new work. [`subset`] bounds the number of agents
-//! that one entry connects to, and [`gossip_peers`] selects the peers of one round of exchange.
+//! A [`Directory`] decides which upstreams are eligible for new work. [`subset`] bounds the number
+//! of agents that one entry connects to, and [`gossip_peers`] selects the peers for one gossip
+//! round.
 
 mod assignment;
 mod directory;
@@ -20,40 +22,40 @@
 
 use serde::{Deserialize, Serialize};
 
-/// One instance in the platform's list.
+/// Record of one instance in the platform's list.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct InstanceRecord {
-    /// Name, unique in the environment.
+    /// Name, unique within the environment.
     pub name: String,
-    /// What runs on the instance.
+    /// Role of the instance.
     pub role: InstanceRole,
     /// Pool that an upstream belongs to.
     #[serde(default)]
     pub pool: Option<String>,
-    /// Data centre that the instance stands in.
+    /// Data centre in which the instance runs.
     pub data_centre: String,
-    /// Address of the system's process on the instance.
+    /// Address of the entry or agent process on the instance.
     pub address: SocketAddr,
-    /// State that the platform reports, possibly late.
+    /// State reported by the platform, possibly outdated.
     pub state: InstanceState,
 }
 
-/// What runs on an instance.
+/// Role of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceRole {
-    /// An entry process.
+    /// Runs an entry process.
     Entry,
-    /// An upstream with an agent beside it.
+    /// Runs an upstream and its agent.
     Upstream,
 }
 
-/// State of an instance.
+/// Lifecycle state of an instance.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum InstanceState {
     /// The instance is in service.
     Live,
-    /// The instance is about to stop.
+    /// The instance is about to shut down.
     Leaving,
 }
--- a/crates/core/src/membership/sabotage.rs
+++ b/crates/core/src/membership/sabotage.rs
@@ -1,18 +1,18 @@
-//! Mechanisms of this slice that tests may turn off.
+//! Mechanisms of this module that tests can disable.
 
-/// A mechanism that a test turns off to show that its oracle notices.
+/// Mechanism that a test disables to show that its oracle detects the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
-    /// Let an older instance list replace a newer one.
+    /// If disabled, an older instance list replaces a newer one.
     ListVersionCheck,
-    /// Let the instance list clear what an agent said about itself.
+    /// If disabled, the instance list overrides what an agent reported about itself.
     ReportOverList,
-    /// Take answers of an agent in the order in which they arrive.
+    /// If disabled, reports of an agent are applied in the order of their arrival.
     ReportOrder,
-    /// Keep sending work to an upstream that can't be reached.
+    /// If disabled, an unreachable upstream stays eligible for new work.
     ContactFailure,
-    /// Keep sending work to an upstream that vanished from the list.
+    /// If disabled, an upstream that is no longer listed stays eligible for new work.
     ListMembership,
-    /// Ignore the operational state.
+    /// If disabled, the operational state is ignored.
     Operations,
 }
--- a/crates/core/src/membership/tests.rs
+++ b/crates/core/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the directory and the assignment of upstreams.
+//! Tests of the directory, the subsetting of upstreams and the selection of gossip peers.
 
 use std::sync::Arc;
 
@@ -28,7 +28,7 @@
     AgentReport { sent_ms, incarnation: Incarnation(incarnation), agent_now_ms, is_draining }
 }
 
-/// A directory with one upstream that was contacted at time ten.
+/// Creates a directory with one upstream that reported at 10 ms.
 fn directory() -> (Directory, UpstreamKey) {
     let mut directory = Directory::new();
     directory.apply_list(list(1, vec![record("engine-1", InstanceState::Live)]));
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn a_late_list_does_not_bring_back_an_upstream_that_refused() {
+fn later_list_does_not_override_a_draining_report() {
     let (mut directory, key) = directory();
     directory.contact_succeeded(key, report(20, 1, 20, true));
     directory.apply_list(list(2, vec![record("engine-1", InstanceState::Live)]));
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn ignores_an_older_list() {
+fn older_list_is_ignored() {
     let (mut directory, key) = directory();
     directory.apply_list(list(3, vec![record("engine-1", InstanceState::Leaving)]));
     assert!(!directory.apply_list(list(2, vec![record("engine-1", InstanceState::Live)])));
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn a_vanished_upstream_keeps_its_work_and_gets_no_new() {
+fn unlisted_upstream_keeps_its_calls_and_gets_no_new_ones() {
     let (mut directory, key) = directory();
     directory.begin_work(key);
     directory.apply_list(list(2, vec![]));
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn an_unreachable_upstream_gets_no_work_until_it_answers_a_later_question() {
+fn unreachable_upstream_gets_no_work_until_it_answers_a_later_request() {
     let (mut directory, key) = directory();
     directory.contact_failed(key, 50);
     directory.contact_succeeded(key, report(49, 1, 60, false));
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn answers_of_an_agent_count_in_the_order_in_which_they_were_given() {
+fn reports_of_an_agent_are_ordered_by_its_clock_within_an_incarnation() {
     let (mut directory, key) = directory();
     directory.contact_succeeded(key, report(30, 1, 90, true));
     directory.contact_succeeded(key, report(40, 1, 45, false));
@@ -90,25 +90,25 @@
 }
 
 #[test]
-fn respects_the_operational_state() {
+fn data_centre_that_is_out_gets_no_work() {
     let (mut directory, key) = directory();
     let out = OperationsChange::DataCentreOut("east".to_owned());
     let operations = OperationsRecord::initial().with(&out).unwrap();
     directory.set_operations(&Arc::new(operations));
     assert_eq!(directory.check(key), Err(Reason::DataCentreOut));
     directory.apply_list(list(2, vec![record("engine-2", InstanceState::Live)]));
-    let new = directory.key("engine-2").unwrap();
-    assert_eq!(directory.check(new), Err(Reason::DataCentreOut));
+    let new_key = directory.key("engine-2").unwrap();
+    assert_eq!(directory.check(new_key), Err(Reason::DataCentreOut));
 }
 
 #[test]
-fn a_small_pool_is_assigned_whole() {
+fn small_pool_is_assigned_completely() {
     let sizes = SubsetSizes { upstreams_per_entry: 8, entries_per_upstream: 2 };
     assert_eq!(subset(&["a", "b"], &["x", "y", "z"], "a", sizes), [0, 1, 2]);
 }
 
 #[test]
-fn gossip_reaches_both_the_own_and_other_data_centres() {
+fn gossip_selects_local_and_remote_peers() {
     let data_centres = ["east", "east", "west", "west"];
     let peers = gossip_peers(&data_centres, "east", 2, &[7, 8]);
     assert_eq!(peers, [1, 2]);
--- a/crates/core/src/membership/upstream.rs
+++ b/crates/core/src/membership/upstream.rs
@@ -1,24 +1,24 @@
-//! What an entry knows about one upstream.
+//! State of one upstream and its agent as known to an entry.
 
 use std::net::SocketAddr;
 
 use super::{InstanceRecord, InstanceState, Sabotage};
 use crate::{ids::Incarnation, outcome::Reason, switch::Switch};
 
-/// What an answer of an agent shows about it.
+/// State of an agent according to one of its responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct AgentReport {
-    /// Time before the question was sent, on the entry's clock in milliseconds.
+    /// Time just before the request was sent, in milliseconds on the entry's clock.
     pub sent_ms: u64,
-    /// The run of the agent that answered.
+    /// Incarnation of the agent process that responded.
     pub incarnation: Incarnation,
-    /// Time of the answer, on the agent's clock in milliseconds.
+    /// Time of the response, in milliseconds on the agent's clock.
     pub agent_now_ms: u64,
     /// Whether the agent refuses new work.
     pub is_draining: bool,
 }
 
-/// What an entry knows about one upstream and its agent.
+/// State of one upstream and its agent as known to an entry.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     record: InstanceRecord,
@@ -26,13 +26,14 @@
     pub(super) is_out: bool,
     pub(super) is_leaving: bool,
     in_progress: u32,
-    contact: Option<AgentReport>,
-    /// Time at which the last contact failed, on the entry's clock in milliseconds.
+    last_report: Option<AgentReport>,
+    /// Time of the last failed contact, in milliseconds on the entry's clock; cleared by a report
+    /// that was requested later.
     failed_ms: Option<u64>,
 }
 
 impl Upstream {
-    /// Creates an upstream that was never contacted.
+    /// Creates an upstream without reports.
     pub(super) fn new(record: InstanceRecord) -> Self {
         Self {
             record,
@@ -40,47 +41,51 @@
             is_out: false,
             is_leaving: false,
             in_progress: 0,
-            contact: None,
+            last_report: None,
             failed_ms: None,
         }
     }
 
-    /// Name, unique in the environment.
+    /// Returns the name, which is unique within the environment.
     pub fn name(&self) -> &str {
         &self.record.name
     }
 
-    /// Pool that the upstream belongs to, if the list names one.
+    /// Returns the pool, if the instance list contains one.
     pub fn pool(&self) -> Option<&str> {
         self.record.pool.as_deref()
     }
 
-    /// Data centre that the upstream stands in.
+    /// Returns the data centre in which the upstream runs.
     pub fn data_centre(&self) -> &str {
         &self.record.data_centre
     }
 
-    /// Address of the agent.
+    /// Returns the address of the agent.
     pub fn address(&self) -> SocketAddr {
         self.record.address
     }
 
-    /// The run of the agent that answered last, if it ever did.
+    /// Returns the incarnation of the agent process in the last report, if there is one.
     pub fn incarnation(&self) -> Option<Incarnation> {
-        self.contact.map(|it| it.incarnation)
+        self.last_report.map(|it| it.incarnation)
     }
 
-    /// Calls of this entry in progress at the upstream.
+    /// Returns the number of this entry's calls in progress at the upstream.
     pub fn in_progress(&self) -> u32 {
         self.in_progress
     }
 
-    /// Tells whether the instance list shows the upstream as leaving.
+    /// Returns whether the upstream is marked as leaving in the instance list.
     pub fn is_listed_leaving(&self) -> bool {
         self.record.state == InstanceState::Leaving
     }
 
-    /// Tells whether the upstream may get new work, or why not.
+    /// Checks whether the upstream is eligible for new work.
+    ///
+    /// # Errors
+    ///
+    /// Returns the reason if it is not.
     pub fn check(&self) -> Result<(), Reason> {
         if !self.is_listed || self.is_leaving || self.record.state == InstanceState::Leaving {
             return Err(Reason::Leaving);
@@ -88,58 +93,58 @@
         if self.is_out {
             return Err(Reason::DataCentreOut);
         }
-        let Some(contact) = self.contact else {
+        let Some(report) = self.last_report else {
             return Err(Reason::NoUpstream);
         };
         if self.failed_ms.is_some() {
             return Err(Reason::AgentLost);
         }
-        if contact.is_draining {
+        if report.is_draining {
             return Err(Reason::Leaving);
         }
         Ok(())
     }
 
-    /// Takes over a newer record of the list.
-    pub(super) fn relist(&mut self, record: InstanceRecord, switch: &Switch<Sabotage>) {
-        if let Some(contact) = &mut self.contact
+    /// Replaces the record by that of a newer list.
+    pub(super) fn update_record(&mut self, record: InstanceRecord, switch: &Switch<Sabotage>) {
+        if let Some(report) = &mut self.last_report
             && switch.is_off(Sabotage::ReportOverList)
         {
-            contact.is_draining = record.state == InstanceState::Leaving;
+            report.is_draining = record.state == InstanceState::Leaving;
         }
         self.record = record;
         self.is_listed = true;
     }
 
-    /// Takes over an answer of the agent unless a later one is known.
+    /// Applies a report unless a later one is known.
     ///
-    /// Returns the run of the agent that this answer replaces.
-    pub(super) fn contacted(
+    /// Returns the incarnation that the reporting one replaces, if they differ.
+    pub(super) fn apply_report(
         &mut self,
         report: AgentReport,
         switch: &Switch<Sabotage>,
     ) -> Option<Incarnation> {
-        let is_ordered = !switch.is_off(Sabotage::ReportOrder);
-        let is_late = self.contact.is_some_and(|known| !is_later(&report, &known));
-        if is_late && is_ordered {
+        let is_order_checked = !switch.is_off(Sabotage::ReportOrder);
+        let is_outdated = self.last_report.is_some_and(|known| !is_later(&report, &known));
+        if is_outdated && is_order_checked {
             return None;
         }
-        // A failure is cleared only by a question that was sent after it.
+        // Only a report that was requested after the failure clears it.
         if self.failed_ms.is_some_and(|it| report.sent_ms >= it) {
             self.failed_ms = None;
         }
         let replaced = self.incarnation().filter(|it| *it != report.incarnation);
-        let known_sent_ms = match replaced {
+        let previous_sent_ms = match replaced {
             Some(_) => None,
-            None => self.contact.map(|it| it.sent_ms),
+            None => self.last_report.map(|it| it.sent_ms),
         };
-        let sent_ms = known_sent_ms.map_or(report.sent_ms, |it| it.max(report.sent_ms));
-        self.contact = Some(AgentReport { sent_ms, ..report });
+        let sent_ms = previous_sent_ms.map_or(report.sent_ms, |it| it.max(report.sent_ms));
+        self.last_report = Some(AgentReport { sent_ms, ..report });
         replaced
     }
 
-    /// Notes that a contact failed.
-    pub(super) fn contact_failed(&mut self, now_ms: u64) {
+    /// Records that the agent could not be reached at `now_ms`.
+    pub(super) fn record_failure(&mut self, now_ms: u64) {
         self.failed_ms = self.failed_ms.max(Some(now_ms));
     }
 
@@ -148,20 +153,21 @@
     }
 
     pub(super) fn end_work(&mut self) {
-        debug_assert!(self.in_progress > 0, "work ends once for each time it begins");
+        debug_assert!(self.in_progress > 0, "end_work without a matching begin_work");
         self.in_progress = self.in_progress.saturating_sub(1);
     }
 
-    /// Tells whether nothing needs the upstream any more.
-    pub(super) fn is_forgettable(&self) -> bool {
+    /// Returns whether the upstream is neither listed nor has calls in progress.
+    pub(super) fn is_removable(&self) -> bool {
         !self.is_listed && self.in_progress == 0
     }
 }
 
-/// Tells whether an answer was given after a known one.
+/// Returns whether a report was made after a known one.
 ///
-/// Answers of one run are ordered by the agent's clock, since an answer may be held back on
-/// purpose. Another run replaces the known one only if it answered a later question.
+/// Reports of one incarnation are ordered by the agent's clock, not by the time of the request,
+/// because an agent may delay a response on purpose. A report of another incarnation replaces the
+/// known one only if it was requested later.
 fn is_later(report: &AgentReport, known: &AgentReport) -> bool {
     match report.incarnation == known.incarnation {
         true => report.agent_now_ms >= known.agent_now_ms,
--- a/crates/core/tests/membership_fuzz/main.rs
+++ b/crates/core/tests/membership_fuzz/main.rs
@@ -1,36 +1,36 @@
-//! Fuzzes the directory with late lists, answers out of order, restarts and moves.
+//! Fuzzes the directory with late lists, reordered reports, restarts and changes of address.
 //!
-//! The oracle knows everything that was delivered and when it was true: an upstream may get work
-//! only if the newest list, the latest answer and the operators all speak for it.
+//! The oracle knows everything that was delivered and the time at which it held. An upstream may
+//! get work only if the newest list, the latest report and the operational state all allow it.
 
 mod assignment;
 #[path = "../harness/mod.rs"]
 mod harness;
-mod world;
+mod simulation;
 
 use harness::{FuzzSettings, assert_invariants_hold, steps};
 use proptest::prelude::*;
-use world::{FleetWorld, UPSTREAMS};
+use simulation::{FleetSimulation, UPSTREAMS};
 use yuccatrail_core::membership::{InstanceState, Sabotage};
 
 const FUZZ: FuzzSettings = FuzzSettings { seed: 4, cases: 1_000, steps: 120 };
 
 steps! {
     4 Publish { is_delivered: bool = any::<bool>() }
-    4 DeliverList { back: usize = 0..3_usize }
-    12 Ask { upstream: usize = 0..UPSTREAMS }
-    12 Answer { index: usize = 0..4_usize }
-    12 DeliverAnswer { index: usize = 0..4_usize }
+    4 DeliverList { age: usize = 0..3_usize }
+    12 SendRequest { upstream: usize = 0..UPSTREAMS }
+    12 Respond { index: usize = 0..4_usize }
+    12 DeliverReport { index: usize = 0..4_usize }
     3 Drain { upstream: usize = 0..UPSTREAMS, is_draining: bool = any::<bool>() }
     2 Restart { upstream: usize = 0..UPSTREAMS, is_moved: bool = any::<bool>() }
     1 Stop { upstream: usize = 0..UPSTREAMS }
-    1 AnnounceLeave { upstream: usize = 0..UPSTREAMS }
-    1 Operate { kind: u8 = 0..4_u8, index: usize = 0..UPSTREAMS }
+    1 MarkLeaving { upstream: usize = 0..UPSTREAMS }
+    1 ChangeOperations { kind: u8 = 0..4_u8, index: usize = 0..UPSTREAMS }
     4 BeginWork { index: usize = 0..4_usize }
     3 EndWork { index: usize = 0..4_usize }
 }
 
-impl harness::Simulation for FleetWorld {
+impl harness::Simulation for FleetSimulation {
     type Mechanism = Sabotage;
     type Step = Step;
 
@@ -44,20 +44,20 @@
 
     fn apply(&mut self, step: Step) {
         match step {
-            Step::Publish { is_delivered } => self.publish_and(is_delivered),
-            Step::DeliverList { back } => self.deliver_list(back),
-            Step::Ask { upstream } => self.ask(upstream),
-            Step::Answer { index } => self.answer(index),
-            Step::DeliverAnswer { index } => self.deliver_answer(index),
+            Step::Publish { is_delivered } => self.publish_list(is_delivered),
+            Step::DeliverList { age } => self.deliver_list(age),
+            Step::SendRequest { upstream } => self.send_request(upstream),
+            Step::Respond { index } => self.respond(index),
+            Step::DeliverReport { index } => self.deliver_report(index),
             Step::Drain { upstream, is_draining } => {
                 self.upstreams[upstream].is_draining = is_draining;
             }
             Step::Restart { upstream, is_moved } => self.restart(upstream, is_moved),
             Step::Stop { upstream } => self.upstreams[upstream].is_up = false,
-            Step::AnnounceLeave { upstream } => {
+            Step::MarkLeaving { upstream } => {
                 self.upstreams[upstream].state = InstanceState::Leaving;
             }
-            Step::Operate { kind, index } => self.operate(kind, index),
+            Step::ChangeOperations { kind, index } => self.change_operations(kind, index),
             Step::BeginWork { index } => self.begin_work(index),
             Step::EndWork { index } => self.end_work(index),
         }
@@ -68,18 +68,18 @@
     }
 
     fn finish(self) {
-        self.heal();
+        self.recover();
     }
 }
 
 #[test]
-fn only_upstreams_in_service_get_work() {
-    assert_invariants_hold::<FleetWorld>(FUZZ);
+fn only_upstreams_in_service_are_candidates() {
+    assert_invariants_hold::<FleetSimulation>(FUZZ);
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn the_oracle_notices_each_missing_mechanism() {
+fn oracle_detects_each_disabled_mechanism() {
     for off in [
         Sabotage::ListVersionCheck,
         Sabotage::ReportOverList,
@@ -88,6 +88,6 @@
         Sabotage::ListMembership,
         Sabotage::Operations,
     ] {
-        harness::assert_detected::<FleetWorld>(FUZZ, off);
+        harness::assert_detected::<FleetSimulation>(FUZZ, off);
     }
 }
--- a/crates/core/tests/membership_fuzz/world.rs
+++ b/crates/core/tests/membership_fuzz/simulation.rs
@@ -1,4 +1,4 @@
-//! Upstreams, lists and questions of one case.
+//! Simulated upstreams, instance lists and requests to agents of one test case.
 
 use std::sync::Arc;
 
@@ -16,22 +16,23 @@
 pub(crate) const UPSTREAMS: usize = 3;
 const POOL: &str = "models";
 
-pub(crate) struct FleetWorld {
+pub(crate) struct FleetSimulation {
     now_ms: u64,
     directory: Directory,
     operations: OperationsRecord,
     pub(crate) upstreams: Vec<Upstream>,
     lists: Vec<InstanceList>,
     newest_list: InstanceList,
-    questions: Vec<Question>,
-    answers: Vec<(Question, AgentReport)>,
-    /// What was delivered about each upstream and each process of it.
-    known: Vec<Known>,
-    working: Vec<UpstreamKey>,
+    requests: Vec<Request>,
+    /// Reports that were not delivered yet; `sent_ms` of the request is the time of the report.
+    reports: Vec<(Request, AgentReport)>,
+    /// Latest delivered report and contact failure of each upstream.
+    deliveries: Vec<Delivery>,
+    calls: Vec<UpstreamKey>,
     next_incarnation: u64,
 }
 
-/// The process beside an upstream as it really is.
+/// Actual state of an upstream and its agent process.
 pub(crate) struct Upstream {
     incarnation: u64,
     started_ms: u64,
@@ -41,8 +42,9 @@
     pub(crate) state: InstanceState,
 }
 
+/// Request to an agent process.
 #[derive(Clone, Copy)]
-struct Question {
+struct Request {
     upstream: usize,
     key: UpstreamKey,
     incarnation: u64,
@@ -50,11 +52,12 @@
 }
 
 #[derive(Clone, Default)]
-struct Known {
-    /// The answer that was given last, among those delivered, with the time at which it was given.
-    answer: Option<(u64, UpstreamKey, AgentReport)>,
-    /// Time of the last failure, and of the last question that was answered.
+struct Delivery {
+    /// The latest of the delivered reports, with the time at which it was made.
+    report: Option<(u64, UpstreamKey, AgentReport)>,
+    /// Time of the last failure.
     failed_ms: Option<u64>,
+    /// Time at which the latest answered request was sent.
     answered_sent_ms: Option<u64>,
 }
 
@@ -62,37 +65,37 @@
     format!("engine-{index}")
 }
 
-impl FleetWorld {
+impl FleetSimulation {
     pub(crate) fn start(off: Option<Sabotage>) -> Self {
         let mut directory = Directory::new();
         sabotage!(directory, off);
         let newest_list = InstanceList { version: 0, instances: vec![] };
-        let mut world = Self {
+        let mut simulation = Self {
             now_ms: 0,
             directory,
             operations: OperationsRecord::initial(),
             upstreams: vec![],
             lists: vec![],
             newest_list,
-            questions: vec![],
-            answers: vec![],
-            known: vec![Known::default(); UPSTREAMS],
-            working: vec![],
+            requests: vec![],
+            reports: vec![],
+            deliveries: vec![Delivery::default(); UPSTREAMS],
+            calls: vec![],
             next_incarnation: 0,
         };
         for index in 0..UPSTREAMS {
             let port = 1_000 * index as u16;
-            let upstream = world.launch(port);
-            world.upstreams.push(upstream);
+            let upstream = simulation.launch(port);
+            simulation.upstreams.push(upstream);
         }
-        world.publish_and(true);
-        world
+        simulation.publish_list(true);
+        simulation
     }
 
     fn launch(&mut self, port: u16) -> Upstream {
         self.next_incarnation += 1;
         Upstream {
-            // Incarnations are random, so they do not rise.
+            // Incarnations are random, so a later one need not be higher.
             incarnation: self.next_incarnation.wrapping_mul(0x9e37_79b9_7f4a_7c15),
             started_ms: self.now_ms,
             port,
@@ -107,7 +110,7 @@
         self.upstreams[index] = self.launch(port);
     }
 
-    pub(crate) fn operate(&mut self, kind: u8, index: usize) {
+    pub(crate) fn change_operations(&mut self, kind: u8, index: usize) {
         let change = match kind {
             0 => OperationsChange::DataCentreOut(format!("centre-{index}")),
             1 => OperationsChange::DataCentreIn(format!("centre-{index}")),
@@ -120,16 +123,16 @@
         }
     }
 
-    /// Publishes a new version of the list and may deliver it at once.
-    pub(crate) fn publish_and(&mut self, is_delivered: bool) {
-        self.publish();
+    /// Publishes a new version of the instance list and, if `is_delivered`, delivers it at once.
+    pub(crate) fn publish_list(&mut self, is_delivered: bool) {
+        self.push_list_version();
         if is_delivered {
             self.deliver_list(0);
         }
     }
 
-    /// Makes a new version of the list from the upstreams that are up.
-    fn publish(&mut self) {
+    /// Creates a new version of the instance list from the upstreams that are up.
+    fn push_list_version(&mut self) {
         let mut instances = vec![];
         for (index, upstream) in self.upstreams.iter().enumerate() {
             if !upstream.is_up {
@@ -147,9 +150,9 @@
         self.lists.push(InstanceList { version: self.lists.len() as u64 + 1, instances });
     }
 
-    /// Delivers one of the last versions of the list.
-    pub(crate) fn deliver_list(&mut self, back: usize) {
-        let index = self.lists.len().saturating_sub(back + 1);
+    /// Delivers the instance list that is `age` versions older than the latest.
+    pub(crate) fn deliver_list(&mut self, age: usize) {
+        let index = self.lists.len().saturating_sub(age + 1);
         let list = self.lists[index].clone();
         self.directory.apply_list(list.clone());
         if list.version >= self.newest_list.version {
@@ -157,60 +160,61 @@
         }
     }
 
-    pub(crate) fn ask(&mut self, upstream: usize) {
+    /// Sends a request to the agent of an upstream; fails if no process listens at its address.
+    pub(crate) fn send_request(&mut self, upstream: usize) {
         self.now_ms += 1;
         let Some(key) = self.directory.key(&name(upstream)) else {
             return;
         };
-        let asked = &self.upstreams[upstream];
+        let target = &self.upstreams[upstream];
         let listed = self.directory.upstream(key).expect("a listed upstream");
-        if !asked.is_up || listed.address().port() != asked.port {
+        if !target.is_up || listed.address().port() != target.port {
             self.fail(upstream, key);
             return;
         }
-        let (incarnation, sent_ms) = (asked.incarnation, self.now_ms);
-        self.questions.push(Question { upstream, key, incarnation, sent_ms });
+        let (incarnation, sent_ms) = (target.incarnation, self.now_ms);
+        self.requests.push(Request { upstream, key, incarnation, sent_ms });
     }
 
-    /// Lets the process that was asked answer or, if it is gone, lets the question fail.
-    pub(crate) fn answer(&mut self, index: usize) {
-        if self.questions.is_empty() {
+    /// Lets the agent process respond to a request; the request fails if the process has ended.
+    pub(crate) fn respond(&mut self, index: usize) {
+        if self.requests.is_empty() {
             return;
         }
         self.now_ms += 1;
-        let question = self.questions.remove(index % self.questions.len());
-        let asked = &self.upstreams[question.upstream];
-        if !asked.is_up || asked.incarnation != question.incarnation {
-            self.fail(question.upstream, question.key);
+        let request = self.requests.remove(index % self.requests.len());
+        let target = &self.upstreams[request.upstream];
+        if !target.is_up || target.incarnation != request.incarnation {
+            self.fail(request.upstream, request.key);
             return;
         }
         let report = AgentReport {
-            sent_ms: question.sent_ms,
-            incarnation: Incarnation(asked.incarnation),
-            agent_now_ms: self.now_ms - asked.started_ms,
-            is_draining: asked.is_draining,
+            sent_ms: request.sent_ms,
+            incarnation: Incarnation(target.incarnation),
+            agent_now_ms: self.now_ms - target.started_ms,
+            is_draining: target.is_draining,
         };
-        self.answers.push((Question { sent_ms: self.now_ms, ..question }, report));
+        self.reports.push((Request { sent_ms: self.now_ms, ..request }, report));
     }
 
-    pub(crate) fn deliver_answer(&mut self, index: usize) {
-        if self.answers.is_empty() {
+    pub(crate) fn deliver_report(&mut self, index: usize) {
+        if self.reports.is_empty() {
             return;
         }
-        let (given, report) = self.answers.remove(index % self.answers.len());
-        let known = &mut self.known[given.upstream];
-        let is_newest = known.answer.is_none_or(|it| it.0 <= given.sent_ms);
-        // Answers of a process at a former address tell nothing about the present one.
-        if self.directory.key(&name(given.upstream)) == Some(given.key) && is_newest {
-            known.answer = Some((given.sent_ms, given.key, report));
+        let (made, report) = self.reports.remove(index % self.reports.len());
+        let delivery = &mut self.deliveries[made.upstream];
+        let is_newest = delivery.report.is_none_or(|it| it.0 <= made.sent_ms);
+        // Reports of a process at a former address don't apply to the current one.
+        if self.directory.key(&name(made.upstream)) == Some(made.key) && is_newest {
+            delivery.report = Some((made.sent_ms, made.key, report));
         }
-        known.answered_sent_ms = known.answered_sent_ms.max(Some(report.sent_ms));
-        self.directory.contact_succeeded(given.key, report);
+        delivery.answered_sent_ms = delivery.answered_sent_ms.max(Some(report.sent_ms));
+        self.directory.contact_succeeded(made.key, report);
     }
 
     fn fail(&mut self, upstream: usize, key: UpstreamKey) {
         if self.directory.key(&name(upstream)) == Some(key) {
-            self.known[upstream].failed_ms = Some(self.now_ms);
+            self.deliveries[upstream].failed_ms = Some(self.now_ms);
         }
         self.directory.contact_failed(key, self.now_ms);
     }
@@ -219,58 +223,67 @@
         let candidates = self.directory.candidates(POOL);
         if let Some(key) = candidates.get(index) {
             self.directory.begin_work(*key);
-            self.working.push(*key);
+            self.calls.push(*key);
         }
     }
 
     pub(crate) fn end_work(&mut self, index: usize) {
-        if !self.working.is_empty() {
-            let key = self.working.remove(index % self.working.len());
+        if !self.calls.is_empty() {
+            let key = self.calls.remove(index % self.calls.len());
             self.directory.end_work(key);
         }
     }
 
-    /// Checks that everything known speaks for each candidate.
+    /// Checks that all delivered information allows new work for each candidate.
     pub(crate) fn check_candidates(&self) {
-        for key in &self.working {
-            let upstream = self.directory.upstream(*key).expect("work keeps its upstream");
-            let expected = self.working.iter().filter(|it| *it == key).count();
+        for key in &self.calls {
+            let upstream = self
+                .directory
+                .upstream(*key)
+                .expect("an upstream with calls stays in the directory");
+            let expected = self.calls.iter().filter(|it| *it == key).count();
             assert_eq!(upstream.in_progress() as usize, expected);
         }
         for key in self.directory.candidates(POOL) {
-            let upstream = self.directory.upstream(key).expect("a candidate is known");
+            let upstream = self.directory.upstream(key).expect("a candidate is in the directory");
             let records = &self.newest_list.instances;
             let record = records.iter().find(|it| it.name == upstream.name());
             let record = record.expect("a candidate is in the newest list");
-            assert_eq!(record.state, InstanceState::Live, "a leaving upstream gets work");
-            assert_eq!(record.address, upstream.address(), "a former process gets work");
+            assert_eq!(record.state, InstanceState::Live, "a leaving upstream is a candidate");
+            assert_eq!(record.address, upstream.address(), "a candidate has an outdated address");
             let is_out = self.operations.is_data_centre_out(upstream.data_centre());
             let is_leaving = self.operations.is_upstream_leaving(upstream.name());
-            assert!(!is_out && !is_leaving, "an upstream gets work against the operators");
+            assert!(
+                !is_out && !is_leaving,
+                "a candidate is taken out of service by the operational state"
+            );
             let index = (0..UPSTREAMS).find(|it| name(*it) == upstream.name());
-            let known = &self.known[index.expect("a known name")];
-            let (_, answering, report) = known.answer.expect("a candidate has answered");
-            assert_eq!(answering, key, "a process gets work on the word of a former one");
-            assert!(!report.is_draining, "a draining upstream gets work");
+            let delivery = &self.deliveries[index.expect("the name of a simulated upstream")];
+            let (_, reporting, report) = delivery.report.expect("a candidate has reported");
+            assert_eq!(reporting, key, "the report of a candidate is from a former process");
+            assert!(!report.is_draining, "a draining upstream is a candidate");
             assert_eq!(upstream.incarnation(), Some(report.incarnation));
-            assert!(known.answered_sent_ms >= known.failed_ms, "an unreachable upstream gets work");
+            assert!(
+                delivery.answered_sent_ms >= delivery.failed_ms,
+                "an unreachable upstream is a candidate"
+            );
         }
     }
 
-    /// Heals everything and checks that exactly the upstreams in service are candidates.
-    pub(crate) fn heal(mut self) {
-        self.publish_and(true);
-        while !self.questions.is_empty() {
-            self.answer(0);
+    /// Ends all faults and checks that exactly the upstreams in service are candidates.
+    pub(crate) fn recover(mut self) {
+        self.publish_list(true);
+        while !self.requests.is_empty() {
+            self.respond(0);
         }
-        while !self.answers.is_empty() {
-            self.deliver_answer(0);
+        while !self.reports.is_empty() {
+            self.deliver_report(0);
         }
         let mut expected = vec![];
         for index in 0..UPSTREAMS {
-            self.ask(index);
-            self.answer(0);
-            self.deliver_answer(0);
+            self.send_request(index);
+            self.respond(0);
+            self.deliver_report(0);
             let upstream = &self.upstreams[index];
             let is_live = upstream.is_up && upstream.state == InstanceState::Live;
             let is_out = self.operations.is_data_centre_out(&format!("centre-{index}"));
@@ -281,15 +294,21 @@
         }
         let mut found = vec![];
         for key in self.directory.candidates(POOL) {
-            found.push(self.directory.upstream(key).expect("a candidate is known").name());
+            found.push(
+                self.directory.upstream(key).expect("a candidate is in the directory").name(),
+            );
         }
         found.sort_unstable();
-        assert_eq!(found, expected, "the candidates are those in service");
+        assert_eq!(found, expected, "the candidates are not the upstreams in service");
         self.check_candidates();
-        while !self.working.is_empty() {
+        while !self.calls.is_empty() {
             self.end_work(0);
         }
         let listed = self.newest_list.instances.len();
-        assert_eq!(self.directory.upstreams().count(), listed, "only listed upstreams remain");
+        assert_eq!(
+            self.directory.upstreams().count(),
+            listed,
+            "the directory holds unlisted upstreams without calls"
+        );
     }
 }
