--- a/crates/core/src/control/change.rs
+++ b/crates/core/src/control/change.rs
@@ -9,7 +9,7 @@
 use crate::{
     document::{self, Fault},
     ids::Digest,
-    switch::Switch,
+    switch::MechanismSwitch,
 };
 
 /// Platform calls that a flow makes at most.
@@ -118,7 +118,7 @@
     is_reapplied: bool,
     calls_left: u32,
     write: Option<SentWrite<T>>,
-    switch: Switch<Sabotage>,
+    switch: MechanismSwitch<Sabotage>,
 }
 
 /// Makes a change on the record in force, if there is one.
@@ -212,14 +212,14 @@
             is_reapplied,
             calls_left: CALL_LIMIT,
             write: None,
-            switch: Switch::new(),
+            switch: MechanismSwitch::new(),
         }
     }
 
     /// Turns one mechanism off.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.turn_off(mechanism);
+        self.switch.disable(mechanism);
     }
 
     /// Token that marks the change in the stored history.
@@ -254,7 +254,7 @@
         if current.version < write.version {
             return self.send(write);
         }
-        let is_history_used = !self.switch.is_off(Sabotage::History);
+        let is_history_used = !self.switch.is_disabled(Sabotage::History);
         let change = match is_history_used {
             true => stored.change(write.version),
             false => stored.history.last(),
@@ -271,7 +271,7 @@
 
     /// Goes on after another change took the place of ours, whose condition can't hold any more.
     fn lost_race(&mut self, revision: u64, stored: &Stored<T>) -> ChangeAction<T> {
-        let is_overwriting = self.switch.is_off(Sabotage::ConflictReport);
+        let is_overwriting = self.switch.is_disabled(Sabotage::ConflictReport);
         if self.is_reapplied || is_overwriting {
             return self.propose(Some(revision), Some(stored));
         }
@@ -304,14 +304,14 @@
     }
 
     fn on_conflict(&mut self) -> ChangeAction<T> {
-        if self.switch.is_off(Sabotage::ReadBackAfterConflict) {
+        if self.switch.is_disabled(Sabotage::ReadBackAfterConflict) {
             return finish(ChangeResult::NotAccepted);
         }
         self.read()
     }
 
     fn on_answer_lost(&mut self) -> ChangeAction<T> {
-        if self.switch.is_off(Sabotage::ReadBack) {
+        if self.switch.is_disabled(Sabotage::ReadBack) {
             return finish(ChangeResult::NotAccepted);
         }
         if let Some(write) = &mut self.write {
--- a/crates/core/src/control/state.rs
+++ b/crates/core/src/control/state.rs
@@ -7,7 +7,7 @@
     document::{self, Document, Fault},
     ids::Digest,
     outcome::Reason,
-    switch::Switch,
+    switch::MechanismSwitch,
 };
 
 /// Control state that one process holds; its versions only rise.
@@ -15,7 +15,7 @@
 pub struct ControlState {
     config: Option<HeldConfig>,
     operations: Option<Arc<OperationsRecord>>,
-    switch: Switch<Sabotage>,
+    switch: MechanismSwitch<Sabotage>,
 }
 
 /// A configuration record with its parsed document.
@@ -103,13 +103,13 @@
 impl ControlState {
     /// Creates the state of a process that has just started and holds nothing.
     pub fn new() -> Self {
-        Self { config: None, operations: None, switch: Switch::new() }
+        Self { config: None, operations: None, switch: MechanismSwitch::new() }
     }
 
     /// Turns one mechanism off.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.turn_off(mechanism);
+        self.switch.disable(mechanism);
     }
 
     /// Versions that the process holds.
@@ -151,7 +151,7 @@
 
     /// Collects what a peer that holds `versions` lacks.
     pub fn update_for(&self, versions: Versions) -> ControlUpdate {
-        if self.switch.is_off(Sabotage::Gossip) {
+        if self.switch.is_disabled(Sabotage::Gossip) {
             return ControlUpdate::default();
         }
         let held = self.versions();
@@ -185,7 +185,7 @@
         if let Some(refusal) = self.compare(version, record.digest, held_version, held_digest) {
             return refusal;
         }
-        let is_checked = !self.switch.is_off(Sabotage::DigestCheck);
+        let is_checked = !self.switch.is_disabled(Sabotage::DigestCheck);
         if is_checked && Digest::of(record.text.as_bytes()) != record.digest {
             return Adoption::DigestMismatch { version };
         }
@@ -220,7 +220,7 @@
         if version == 0 {
             return Some(Adoption::Older { held_version });
         }
-        if version < held_version && !self.switch.is_off(Sabotage::RisingVersions) {
+        if version < held_version && !self.switch.is_disabled(Sabotage::RisingVersions) {
             return Some(Adoption::Older { held_version });
         }
         if version > held_version {
@@ -230,7 +230,7 @@
         if held == offered {
             return Some(Adoption::AlreadyHeld);
         }
-        if self.switch.is_off(Sabotage::ConflictCheck) || version < held_version {
+        if self.switch.is_disabled(Sabotage::ConflictCheck) || version < held_version {
             return None;
         }
         Some(Adoption::Conflict { version, held, offered })
--- a/crates/core/src/drain/freshness.rs
+++ b/crates/core/src/drain/freshness.rs
@@ -1,7 +1,7 @@
 //! Age of the control state and detection of process pauses.
 
 use super::Sabotage;
-use crate::switch::Switch;
+use crate::switch::MechanismSwitch;
 
 /// Longest gap between two ticks that does not count as a pause, in milliseconds.
 const PAUSE_LIMIT_MS: u64 = 500;
@@ -37,7 +37,7 @@
     woke_ms: Option<u64>,
     /// Latest time for which it is known that the control state held then was the newest.
     known_as_of_ms: Option<u64>,
-    switch: Switch<Sabotage>,
+    switch: MechanismSwitch<Sabotage>,
 }
 
 impl Freshness {
@@ -48,14 +48,14 @@
             last_tick_ms: now_ms,
             woke_ms: None,
             known_as_of_ms: None,
-            switch: Switch::new(),
+            switch: MechanismSwitch::new(),
         }
     }
 
     /// Turns one mechanism off.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.turn_off(mechanism);
+        self.switch.disable(mechanism);
     }
 
     /// Notes that the process runs; called several times within the pause limit.
@@ -65,7 +65,9 @@
     pub fn tick(&mut self, now_ms: u64) -> Option<u64> {
         let gap_ms = now_ms.saturating_sub(self.last_tick_ms);
         self.last_tick_ms = self.last_tick_ms.max(now_ms);
-        if gap_ms <= self.settings.pause_limit_ms || self.switch.is_off(Sabotage::PauseDetection) {
+        if gap_ms <= self.settings.pause_limit_ms
+            || self.switch.is_disabled(Sabotage::PauseDetection)
+        {
             return None;
         }
         self.woke_ms = Some(now_ms);
@@ -77,7 +79,7 @@
     /// `sent_ms` is the time before the question was sent. `age_ms` is the age that the answering
     /// peer stated for its own control state, and zero for the platform.
     pub fn confirm(&mut self, sent_ms: u64, age_ms: u64) {
-        let age_ms = match self.switch.is_off(Sabotage::ConfirmationAge) {
+        let age_ms = match self.switch.is_disabled(Sabotage::ConfirmationAge) {
             true => 0,
             false => age_ms,
         };
--- a/crates/core/src/drain/gate.rs
+++ b/crates/core/src/drain/gate.rs
@@ -1,7 +1,9 @@
 //! Gate for new work at an agent.
 
 use super::{Freshness, FreshnessSettings, Sabotage};
-use crate::{control::ControlState, membership::InstanceState, outcome::Reason, switch::Switch};
+use crate::{
+    control::ControlState, membership::InstanceState, outcome::Reason, switch::MechanismSwitch,
+};
 
 /// What a gate stands for.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -46,7 +48,7 @@
     is_listed_leaving: bool,
     list_version: u64,
     is_stopping: bool,
-    switch: Switch<Sabotage>,
+    switch: MechanismSwitch<Sabotage>,
 }
 
 impl Gate {
@@ -62,14 +64,14 @@
             is_listed_leaving: false,
             list_version: 0,
             is_stopping: false,
-            switch: Switch::new(),
+            switch: MechanismSwitch::new(),
         }
     }
 
     /// Turns one mechanism off.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.turn_off(mechanism);
+        self.switch.disable(mechanism);
         self.freshness.sabotage(mechanism);
     }
 
@@ -78,7 +80,7 @@
         let before = self.refusal();
         self.has_control_state = control.serving_document().is_ok();
         if let Some(operations) = control.operations()
-            && !self.switch.is_off(Sabotage::Operations)
+            && !self.switch.is_disabled(Sabotage::Operations)
         {
             self.is_data_centre_out = operations.is_data_centre_out(&self.data_centre);
             self.is_leaving = operations.is_upstream_leaving(&self.upstream);
@@ -91,7 +93,7 @@
     /// The list lags and may be read from different replicas, so an older version is ignored.
     pub fn set_listed(&mut self, list_version: u64, state: InstanceState) -> GateChange {
         let before = self.refusal();
-        if list_version < self.list_version && !self.switch.is_off(Sabotage::ListVersion) {
+        if list_version < self.list_version && !self.switch.is_disabled(Sabotage::ListVersion) {
             return GateChange::Unchanged;
         }
         self.list_version = list_version;
@@ -171,7 +173,7 @@
 
     fn change_since(&self, before: Option<Reason>) -> GateChange {
         match (before, self.refusal()) {
-            (None, Some(_)) if self.switch.is_off(Sabotage::HandBack) => GateChange::Unchanged,
+            (None, Some(_)) if self.switch.is_disabled(Sabotage::HandBack) => GateChange::Unchanged,
             (None, Some(reason)) => GateChange::Closed(reason),
             (Some(_), None) => GateChange::Opened,
             _ => GateChange::Unchanged,
--- a/crates/core/src/drain/shutdown.rs
+++ b/crates/core/src/drain/shutdown.rs
@@ -1,7 +1,7 @@
 //! Planned stop of a process.
 
 use super::Sabotage;
-use crate::switch::Switch;
+use crate::switch::MechanismSwitch;
 
 /// Times of a planned stop.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
@@ -33,19 +33,24 @@
     settings: ShutdownSettings,
     phase: ShutdownPhase,
     began_ms: u64,
-    switch: Switch<Sabotage>,
+    switch: MechanismSwitch<Sabotage>,
 }
 
 impl GracefulShutdown {
     /// Creates the state of a running process.
     pub fn new(settings: ShutdownSettings) -> Self {
-        Self { settings, phase: ShutdownPhase::Running, began_ms: 0, switch: Switch::new() }
+        Self {
+            settings,
+            phase: ShutdownPhase::Running,
+            began_ms: 0,
+            switch: MechanismSwitch::new(),
+        }
     }
 
     /// Turns one mechanism off.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.turn_off(mechanism);
+        self.switch.disable(mechanism);
     }
 
     /// Begins the stop; a repeated signal changes nothing.
@@ -63,7 +68,7 @@
             return self.phase;
         }
         let elapsed_ms = now_ms.saturating_sub(self.began_ms);
-        let is_idle = in_progress == 0 || self.switch.is_off(Sabotage::AwaitWork);
+        let is_idle = in_progress == 0 || self.switch.is_disabled(Sabotage::AwaitWork);
         let is_noticed = elapsed_ms >= self.settings.notice_ms;
         let is_over = self.settings.time_limit_ms.is_some_and(|it| elapsed_ms >= it);
         if is_idle && is_noticed || is_over {
--- a/crates/core/src/membership/directory.rs
+++ b/crates/core/src/membership/directory.rs
@@ -6,7 +6,8 @@
 
 use super::{AgentReport, InstanceRecord, InstanceRole, Sabotage, Upstream};
 use crate::{
-    FastMap, FastSet, control::OperationsRecord, ids::Incarnation, outcome::Reason, switch::Switch,
+    FastMap, FastSet, control::OperationsRecord, ids::Incarnation, outcome::Reason,
+    switch::MechanismSwitch,
 };
 
 new_key_type! {
@@ -32,7 +33,7 @@
     entries: Vec<InstanceRecord>,
     list_version: u64,
     operations: Option<Arc<OperationsRecord>>,
-    switch: Switch<Sabotage>,
+    switch: MechanismSwitch<Sabotage>,
 }
 
 impl Default for Directory {
@@ -50,19 +51,20 @@
             entries: Vec::new(),
             list_version: 0,
             operations: None,
-            switch: Switch::new(),
+            switch: MechanismSwitch::new(),
         }
     }
 
     /// Turns one mechanism off.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.turn_off(mechanism);
+        self.switch.disable(mechanism);
     }
 
     /// Takes over the instance list; returns false if a newer one is known.
     pub fn apply_list(&mut self, list: InstanceList) -> bool {
-        if list.version < self.list_version && !self.switch.is_off(Sabotage::ListVersionCheck) {
+        if list.version < self.list_version && !self.switch.is_disabled(Sabotage::ListVersionCheck)
+        {
             return false;
         }
         self.list_version = list.version;
@@ -82,7 +84,7 @@
 
     /// Takes over the operational state unless a newer one is known.
     pub fn set_operations(&mut self, operations: &Arc<OperationsRecord>) {
-        if self.switch.is_off(Sabotage::Operations) {
+        if self.switch.is_disabled(Sabotage::Operations) {
             return;
         }
         if self.operations.as_ref().is_some_and(|it| it.version > operations.version) {
@@ -110,7 +112,7 @@
     ///
     /// The upstream gets no new work until its agent answers a question that was sent later.
     pub fn contact_failed(&mut self, key: UpstreamKey, now_ms: u64) {
-        if self.switch.is_off(Sabotage::ContactFailure) {
+        if self.switch.is_disabled(Sabotage::ContactFailure) {
             return;
         }
         if let Some(upstream) = self.upstreams.get_mut(key) {
@@ -212,7 +214,7 @@
             if listed.contains(&key) {
                 continue;
             }
-            upstream.is_listed = self.switch.is_off(Sabotage::ListMembership);
+            upstream.is_listed = self.switch.is_disabled(Sabotage::ListMembership);
             if upstream.is_forgettable() {
                 forgettable.push(key);
             }
--- a/crates/core/src/membership/upstream.rs
+++ b/crates/core/src/membership/upstream.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{InstanceRecord, InstanceState, Sabotage};
-use crate::{ids::Incarnation, outcome::Reason, switch::Switch};
+use crate::{ids::Incarnation, outcome::Reason, switch::MechanismSwitch};
 
 /// What an answer of an agent shows about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -101,9 +101,9 @@
     }
 
     /// Takes over a newer record of the list.
-    pub(super) fn relist(&mut self, record: InstanceRecord, switch: &Switch<Sabotage>) {
+    pub(super) fn relist(&mut self, record: InstanceRecord, switch: &MechanismSwitch<Sabotage>) {
         if let Some(contact) = &mut self.contact
-            && switch.is_off(Sabotage::ReportOverList)
+            && switch.is_disabled(Sabotage::ReportOverList)
         {
             contact.is_draining = record.state == InstanceState::Leaving;
         }
@@ -117,9 +117,9 @@
     pub(super) fn contacted(
         &mut self,
         report: AgentReport,
-        switch: &Switch<Sabotage>,
+        switch: &MechanismSwitch<Sabotage>,
     ) -> Option<Incarnation> {
-        let is_ordered = !switch.is_off(Sabotage::ReportOrder);
+        let is_ordered = !switch.is_disabled(Sabotage::ReportOrder);
         let is_late = self.contact.is_some_and(|known| !is_later(&report, &known));
         if is_late && is_ordered {
             return None;
--- a/crates/core/src/placement/fence.rs
+++ b/crates/core/src/placement/fence.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 
 use super::{FencingNumber, Sabotage};
-use crate::switch::Switch;
+use crate::switch::MechanismSwitch;
 
 /// Why an order is not passed to the upstream.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     /// Time from which the next order may be sent, in milliseconds.
     settled_from_ms: u64,
     is_order_under_way: bool,
-    switch: Switch<Sabotage>,
+    switch: MechanismSwitch<Sabotage>,
 }
 
 impl FenceGuard {
@@ -49,14 +49,14 @@
             settle_ms,
             settled_from_ms: now_ms + settle_ms,
             is_order_under_way: false,
-            switch: Switch::new(),
+            switch: MechanismSwitch::new(),
         }
     }
 
     /// Turns one mechanism off.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.turn_off(mechanism);
+        self.switch.disable(mechanism);
     }
 
     /// Notes a number that was read after the agent's start: that of the platform's lease record,
@@ -73,15 +73,15 @@
     /// Begins an order; on success the caller sends it and then calls [`FenceGuard::end`].
     pub fn begin(&mut self, now_ms: u64, fence: FencingNumber) -> Result<(), FenceRefusal> {
         let is_known = self.highest.is_some();
-        if !is_known && !self.switch.is_off(Sabotage::FenceAfterRestart) {
+        if !is_known && !self.switch.is_disabled(Sabotage::FenceAfterRestart) {
             return Err(FenceRefusal::Unconfirmed);
         }
         let highest = self.highest.unwrap_or_default();
-        if fence < highest && !self.switch.is_off(Sabotage::FenceCheck) {
+        if fence < highest && !self.switch.is_disabled(Sabotage::FenceCheck) {
             return Err(FenceRefusal::Old { highest });
         }
         let is_settled = !self.is_order_under_way && now_ms >= self.settled_from_ms;
-        if !is_settled && !self.switch.is_off(Sabotage::SettleOrders) {
+        if !is_settled && !self.switch.is_disabled(Sabotage::SettleOrders) {
             return Err(FenceRefusal::Unsettled);
         }
         self.learn(fence);
--- a/crates/core/src/placement/keeper.rs
+++ b/crates/core/src/placement/keeper.rs
@@ -1,7 +1,7 @@
 //! State machine that acquires and renews a lease by conditional updates.
 
 use super::{FencingNumber, HolderToken, Lease, Sabotage};
-use crate::switch::Switch;
+use crate::switch::MechanismSwitch;
 
 /// Time for which a lease holds after a write, in milliseconds.
 const DURATION_MS: u64 = 10_000;
@@ -90,7 +90,7 @@
     /// Time at which the next call is due, in milliseconds.
     due_ms: u64,
     write_number: u64,
-    switch: Switch<Sabotage>,
+    switch: MechanismSwitch<Sabotage>,
 }
 
 /// The stored record, or its absence, as last seen.
@@ -138,14 +138,14 @@
             call: Call::None,
             due_ms: 0,
             write_number: 0,
-            switch: Switch::new(),
+            switch: MechanismSwitch::new(),
         }
     }
 
     /// Turns one mechanism off.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.turn_off(mechanism);
+        self.switch.disable(mechanism);
     }
 
     /// Returns the fencing number under which the process may act now, if it may.
@@ -154,7 +154,8 @@
     /// at any earlier point.
     pub fn may_act(&self, now_ms: u64) -> Option<FencingNumber> {
         let held = self.held?;
-        let is_valid = now_ms < held.valid_until_ms || self.switch.is_off(Sabotage::ExpiryCheck);
+        let is_valid =
+            now_ms < held.valid_until_ms || self.switch.is_disabled(Sabotage::ExpiryCheck);
         is_valid.then_some(held.fence)
     }
 
@@ -182,7 +183,7 @@
         if !self.has_lapsed(now_ms, &seen, &lease) {
             return self.read();
         }
-        let fence = match self.switch.is_off(Sabotage::RisingFence) {
+        let fence = match self.switch.is_disabled(Sabotage::RisingFence) {
             true => lease.fence,
             false => FencingNumber(lease.fence.0 + 1),
         };
@@ -221,7 +222,7 @@
     /// Its holder counts from before its write, so waiting from when the write was first seen is
     /// always longer.
     fn has_lapsed(&self, now_ms: u64, seen: &SeenLease, lease: &Lease) -> bool {
-        if lease.holder == self.token || self.switch.is_off(Sabotage::AwaitExpiry) {
+        if lease.holder == self.token || self.switch.is_disabled(Sabotage::AwaitExpiry) {
             return true;
         }
         now_ms.saturating_sub(seen.first_seen_ms) >= lease.duration_ms
@@ -265,7 +266,7 @@
         self.seen =
             Some(SeenLease { stored: Some((revision, write.lease)), first_seen_ms: now_ms });
         self.due_ms = write.sent_ms + self.settings.interval_ms;
-        if self.switch.is_off(Sabotage::ValidFromSent) {
+        if self.switch.is_disabled(Sabotage::ValidFromSent) {
             write.sent_ms = now_ms;
         }
         self.hold(write);
--- a/crates/core/src/quarantine/crashes.rs
+++ b/crates/core/src/quarantine/crashes.rs
@@ -14,7 +14,7 @@
     FastMap,
     ids::{Digest, Incarnation},
     quarantine::{Admission, Quarantine, QuarantineLimits, Strike},
-    switch::Switch,
+    switch::MechanismSwitch,
 };
 
 /// Upstreams that crashed with a request before it is refused, as the users' rules allow.
@@ -38,7 +38,7 @@
     quarantine: Quarantine,
     /// Time of the last completion of each request, in milliseconds.
     completed: FastMap<RequestHash, u64>,
-    switch: Switch<CrashSabotage>,
+    switch: MechanismSwitch<CrashSabotage>,
 }
 
 /// A mechanism that a test turns off to show that its oracle notices.
@@ -69,14 +69,14 @@
         Self {
             quarantine: Quarantine::new(limits),
             completed: FastMap::default(),
-            switch: Switch::new(),
+            switch: MechanismSwitch::new(),
         }
     }
 
     /// Switches one mechanism off.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, sabotage: CrashSabotage) {
-        self.switch.turn_off(sabotage);
+        self.switch.disable(sabotage);
     }
 
     /// Tells whether nothing is held against any request, so that none needs its digest.
@@ -99,7 +99,7 @@
     ) -> bool {
         let completed_ms = self.completed.get(&request).copied();
         let has_completed = completed_ms.is_some_and(|it| now_ms < it + COMPLETED_MS);
-        if has_completed && !self.switch.is_off(CrashSabotage::EarlierCompletion) {
+        if has_completed && !self.switch.is_disabled(CrashSabotage::EarlierCompletion) {
             return false;
         }
         // A run of an upstream crashes once.
@@ -119,14 +119,14 @@
         if self.completed.len() < MAX_COMPLETED {
             self.completed.insert(request, now_ms);
         }
-        if !self.is_empty() && !self.switch.is_off(CrashSabotage::LaterCompletion) {
+        if !self.is_empty() && !self.switch.is_disabled(CrashSabotage::LaterCompletion) {
             self.quarantine.on_complete(fingerprint());
         }
     }
 
     /// Takes in strikes that another entry passed on.
     pub fn merge(&mut self, strikes: &[Strike], now_ms: u64) {
-        if !self.switch.is_off(CrashSabotage::Merge) {
+        if !self.switch.is_disabled(CrashSabotage::Merge) {
             self.quarantine.merge(strikes, now_ms);
         }
     }
--- a/crates/core/src/switch.rs
+++ b/crates/core/src/switch.rs
@@ -1,15 +1,15 @@
-//! Switch by which tests turn off one mechanism of a slice.
+//! MechanismSwitch by which tests turn off one mechanism of a slice.
 
 /// Remembers which mechanism is off; always none unless the `sabotage` feature is on.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Switch<T> {
+pub(crate) struct MechanismSwitch<T> {
     #[cfg(feature = "sabotage")]
     off: Option<T>,
     #[cfg(not(feature = "sabotage"))]
     kind: std::marker::PhantomData<T>,
 }
 
-impl<T: Copy + PartialEq> Switch<T> {
+impl<T: Copy + PartialEq> MechanismSwitch<T> {
     /// Creates a switch with every mechanism on.
     pub(crate) fn new() -> Self {
         Self {
@@ -22,19 +22,19 @@
 
     /// Turns `mechanism` off.
     #[cfg(feature = "sabotage")]
-    pub(crate) fn turn_off(&mut self, mechanism: T) {
+    pub(crate) fn disable(&mut self, mechanism: T) {
         self.off = Some(mechanism);
     }
 
     /// Tells whether `mechanism` is off.
     #[cfg(feature = "sabotage")]
-    pub(crate) fn is_off(&self, mechanism: T) -> bool {
+    pub(crate) fn is_disabled(&self, mechanism: T) -> bool {
         self.off == Some(mechanism)
     }
 
     /// Tells whether `mechanism` is off.
     #[cfg(not(feature = "sabotage"))]
-    pub(crate) fn is_off(&self, _mechanism: T) -> bool {
+    pub(crate) fn is_disabled(&self, _mechanism: T) -> bool {
         false
     }
 }
