--- a/crates/core/src/control/change.rs
+++ b/crates/core/src/control/change.rs
@@ -1,4 +1,4 @@
-//! Acceptance of an operator's change by one conditional update on the platform.
+//! Change of the control state by an operator, accepted by one conditional update on the platform.
 
 use std::{num::ParseIntError, sync::Arc};
 
@@ -12,10 +12,10 @@
     switch::MechanismSwitch,
 };
 
-/// Platform calls that a flow makes at most.
-const CALL_LIMIT: u32 = 16;
+/// Maximum number of platform calls in one flow.
+const MAX_CALLS: u32 = 16;
 
-/// Names one change of one operator; every flow draws a new value at random.
+/// Identifies one change by an operator; each flow uses a new random value.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, From, Serialize, Deserialize,
 )]
@@ -32,45 +32,46 @@
 impl TryFrom<String> for ChangeId {
     type Error = ParseIntError;
 
-    /// Reads the hexadecimal form; as a number the token would lose digits in JSON.
+    /// Parses the hexadecimal form, which is used because a JSON number would lose digits.
     fn try_from(text: String) -> Result<Self, Self::Error> {
         u128::from_str_radix(&text, 16).map(Self)
     }
 }
 
-/// Answer of the platform to the last action of a flow.
+/// Result of the platform call that the last action of a flow asked for.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeEvent<T> {
     /// The read found the object.
     Read {
-        /// Revision of the object, on which a write can be made conditional.
+        /// Revision of the object, usable as the condition of a write.
         revision: u64,
         /// Content of the object.
         stored: Stored<T>,
     },
     /// The read found that the object does not exist.
     Missing,
-    /// The read got no answer.
+    /// The read failed or got no answer.
     ReadFailed,
     /// The write took effect.
     Written,
-    /// The write did not take effect because its condition was false.
+    /// The write did not take effect because its condition was not met.
     Conflict,
-    /// The write may or may not take effect, now or later.
+    /// The answer to the write was lost, so it may or may not take effect, now or later.
     AnswerLost,
-    /// The write did not and will not take effect because the platform refused or was not reached.
+    /// The write did not and will not take effect because the platform rejected it or was
+    /// unreachable.
     Unavailable,
 }
 
-/// What the caller of a flow does next.
+/// What the caller of a flow must do next.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ChangeAction<T> {
-    /// Read the object; after a failed call, with a delay.
+    /// Read the object, after a delay if the last call failed.
     Read,
-    /// Write the object if its revision is `if_revision`, or if it does not exist when that is
-    /// none.
+    /// Write the object on the condition that its revision is `if_revision`, or that it does not
+    /// exist if that is `None`.
     Write {
-        /// Revision that the object must have.
+        /// Expected revision of the object.
         if_revision: Option<u64>,
         /// New content.
         stored: Stored<T>,
@@ -82,19 +83,19 @@
 /// Result of a change.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum ChangeResult {
-    /// The change was accepted and will be in force everywhere.
+    /// The change was accepted and will take effect in every process.
     #[display("accepted as version {version}")]
     Accepted {
-        /// Version that the change made.
+        /// Version created by the change.
         version: u64,
     },
-    /// The state already is as the change asks.
+    /// The current state already includes the change.
     #[display("already in force as version {version}")]
     AlreadyInForce {
         /// Version in force.
         version: u64,
     },
-    /// Another change won and this one was not and will not be accepted.
+    /// A concurrent change was accepted instead; this one was not and will not be.
     #[display("conflict with version {current_version} ({digest})")]
     Conflict {
         /// Version in force.
@@ -102,59 +103,60 @@
         /// Digest of the record in force.
         digest: Digest,
     },
-    /// The change was not and will not be accepted, because the platform could not be used.
+    /// The change was not and will not be accepted, because the platform was unavailable.
     #[display("not accepted")]
     NotAccepted,
-    /// A write was sent and it could not be found out whether it took effect.
+    /// A write was sent, but it could not be determined whether it took effect.
     #[display("undecided")]
     Undecided,
 }
 
-/// Carries one change of an operator through to a result.
+/// State machine that carries one operator's change through to its result.
 pub struct ChangeFlow<T> {
     change_id: ChangeId,
-    propose: Propose<T>,
-    identify: fn(&T) -> Identity,
-    is_reapplied: bool,
+    propose: ProposeFn<T>,
+    record_id: fn(&T) -> RecordId,
+    /// Whether the change is applied again to the newer record after it lost a race.
+    retries_after_conflict: bool,
     calls_left: u32,
-    write: Option<SentWrite<T>>,
-    switch: MechanismSwitch<Sabotage>,
+    write: Option<PendingWrite<T>>,
+    mechanisms: MechanismSwitch<Sabotage>,
 }
 
-/// Makes a change on the record in force, if there is one.
-type Propose<T> = Box<dyn Fn(Option<&T>) -> Proposal<T> + Send>;
+/// Applies a change to the record in force, or to `None` if there is none.
+type ProposeFn<T> = Box<dyn Fn(Option<&T>) -> Proposal<T> + Send>;
 
-/// What a change makes of the record in force.
+/// Result of applying a change to the record in force.
 enum Proposal<T> {
     /// A new record with the next version.
     Record(T),
-    /// Nothing, because the record is as the change asks.
+    /// No new record, because the record in force already includes the change.
     InForce,
-    /// Nothing, because the record is not the one that the operator expects.
+    /// No new record, because the one in force does not have the version that the operator expects.
     Unexpected,
 }
 
 /// Version and digest of a record.
 #[derive(Clone, Copy)]
-struct Identity {
+struct RecordId {
     version: u64,
     digest: Digest,
 }
 
-/// A write that was sent and is not settled.
-struct SentWrite<T> {
+/// A write that was sent and whose effect is not known yet.
+struct PendingWrite<T> {
     if_revision: Option<u64>,
     stored: Stored<T>,
     version: u64,
-    /// Whether an answer was lost, so that the write may take effect at any time.
+    /// Whether an answer was lost, so that the write may still take effect at any time.
     is_ambiguous: bool,
 }
 
 impl ChangeFlow<ConfigRecord> {
-    /// Prepares the promotion of a document.
+    /// Creates the flow that promotes a document.
     ///
-    /// With `expected_version` the flow reports a conflict unless that version is in force; zero
-    /// stands for "none".
+    /// If `expected_version` is given, the flow reports a conflict unless that version is in force;
+    /// zero means that no document may be in force.
     pub fn promote(
         text: Arc<str>,
         expected_version: Option<u64>,
@@ -176,14 +178,14 @@
                 text: Arc::clone(&text),
             })
         };
-        let identify = |it: &ConfigRecord| Identity { version: it.version, digest: it.digest };
-        Ok(Self::new(change_id, Box::new(propose), identify, false))
+        let record_id = |it: &ConfigRecord| RecordId { version: it.version, digest: it.digest };
+        Ok(Self::new(change_id, Box::new(propose), record_id, false))
     }
 }
 
 impl ChangeFlow<OperationsRecord> {
-    /// Prepares a change to the operational state, which is made again on a newer state if another
-    /// change wins the race.
+    /// Creates the flow of a change to the operational state, which is applied again to the newer
+    /// state if it loses a race with another change.
     pub fn change_operations(change: OperationsChange, change_id: ChangeId) -> Self {
         let propose = move |current: Option<&OperationsRecord>| {
             let initial = OperationsRecord::initial();
@@ -192,37 +194,37 @@
                 None => Proposal::InForce,
             }
         };
-        let identify =
-            |it: &OperationsRecord| Identity { version: it.version, digest: it.digest() };
-        Self::new(change_id, Box::new(propose), identify, true)
+        let record_id =
+            |it: &OperationsRecord| RecordId { version: it.version, digest: it.digest() };
+        Self::new(change_id, Box::new(propose), record_id, true)
     }
 }
 
 impl<T: Clone> ChangeFlow<T> {
     fn new(
         change_id: ChangeId,
-        propose: Propose<T>,
-        identify: fn(&T) -> Identity,
-        is_reapplied: bool,
+        propose: ProposeFn<T>,
+        record_id: fn(&T) -> RecordId,
+        retries_after_conflict: bool,
     ) -> Self {
         Self {
             change_id,
             propose,
-            identify,
-            is_reapplied,
-            calls_left: CALL_LIMIT,
+            record_id,
+            retries_after_conflict,
+            calls_left: MAX_CALLS,
             write: None,
-            switch: MechanismSwitch::new(),
+            mechanisms: MechanismSwitch::new(),
         }
     }
 
-    /// Turns one mechanism off.
+    /// Disables one safety mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.disable(mechanism);
+        self.mechanisms.disable(mechanism);
     }
 
-    /// Token that marks the change in the stored history.
+    /// Identifier of the change in the stored history.
     pub fn change_id(&self) -> ChangeId {
         self.change_id
     }
@@ -232,7 +234,7 @@
         self.read()
     }
 
-    /// Takes the answer to the last action and returns the next one.
+    /// Handles the result of the last action and returns the next action.
     pub fn handle(&mut self, event: ChangeEvent<T>) -> ChangeAction<T> {
         match event {
             ChangeEvent::Read { revision, stored } => self.on_read(revision, stored),
@@ -248,14 +250,14 @@
         let Some(write) = self.write.take() else {
             return self.propose(Some(revision), Some(&stored));
         };
-        let current = (self.identify)(&stored.record);
-        // The object has not moved, so the write may still take effect later. Sending it again
-        // under the same condition settles it: at most one of the two can take effect.
+        let current = (self.record_id)(&stored.record);
+        // The object is unchanged, so the write may still take effect later. Sending it again under
+        // the same condition settles the matter: at most one of the two can take effect.
         if current.version < write.version {
             return self.send(write);
         }
-        let is_history_used = !self.switch.is_disabled(Sabotage::History);
-        let change = match is_history_used {
+        let searches_history = !self.mechanisms.is_disabled(Sabotage::History);
+        let change = match searches_history {
             true => stored.change(write.version),
             false => stored.history.last(),
         };
@@ -263,23 +265,24 @@
             Some(change) if change.change_id == self.change_id => {
                 finish(ChangeResult::Accepted { version: write.version })
             }
-            Some(_) => self.lost_race(revision, &stored),
+            Some(_) => self.on_lost_race(revision, &stored),
             None if write.is_ambiguous => finish(ChangeResult::Undecided),
-            None => self.lost_race(revision, &stored),
+            None => self.on_lost_race(revision, &stored),
         }
     }
 
-    /// Goes on after another change took the place of ours, whose condition can't hold any more.
-    fn lost_race(&mut self, revision: u64, stored: &Stored<T>) -> ChangeAction<T> {
-        let is_overwriting = self.switch.is_disabled(Sabotage::ConflictReport);
-        if self.is_reapplied || is_overwriting {
+    /// Continues after another change was accepted first, so that the condition of this flow's
+    /// write can no longer be met.
+    fn on_lost_race(&mut self, revision: u64, stored: &Stored<T>) -> ChangeAction<T> {
+        let overwrites_winner = self.mechanisms.is_disabled(Sabotage::ConflictReport);
+        if self.retries_after_conflict || overwrites_winner {
             return self.propose(Some(revision), Some(stored));
         }
-        let current = (self.identify)(&stored.record);
+        let current = (self.record_id)(&stored.record);
         if matches!((self.propose)(Some(&stored.record)), Proposal::InForce) {
             return finish(ChangeResult::AlreadyInForce { version: current.version });
         }
-        finish(conflict_with(current))
+        finish(conflict_result(current))
     }
 
     fn on_missing(&mut self) -> ChangeAction<T> {
@@ -289,7 +292,7 @@
         if write.if_revision.is_none() {
             return self.send(write);
         }
-        // The object existed and is gone, and the history with it.
+        // The object existed and has been deleted together with its history.
         match write.is_ambiguous {
             true => finish(ChangeResult::Undecided),
             false => finish(ChangeResult::NotAccepted),
@@ -304,14 +307,14 @@
     }
 
     fn on_conflict(&mut self) -> ChangeAction<T> {
-        if self.switch.is_disabled(Sabotage::ReadBackAfterConflict) {
+        if self.mechanisms.is_disabled(Sabotage::ReadBackAfterConflict) {
             return finish(ChangeResult::NotAccepted);
         }
         self.read()
     }
 
     fn on_answer_lost(&mut self) -> ChangeAction<T> {
-        if self.switch.is_disabled(Sabotage::ReadBack) {
+        if self.mechanisms.is_disabled(Sabotage::ReadBack) {
             return finish(ChangeResult::NotAccepted);
         }
         if let Some(write) = &mut self.write {
@@ -320,32 +323,32 @@
         self.read()
     }
 
-    /// Makes the change on `current` and sends it.
+    /// Applies the change to `current` and sends the write.
     fn propose(
         &mut self,
         if_revision: Option<u64>,
         current: Option<&Stored<T>>,
     ) -> ChangeAction<T> {
-        let identity = current.map(|it| (self.identify)(&it.record));
+        let current_id = current.map(|it| (self.record_id)(&it.record));
         let record = match (self.propose)(current.map(|it| &it.record)) {
             Proposal::Record(record) => record,
             Proposal::InForce => {
                 let initial = OperationsRecord::initial();
-                let version = identity.map_or(initial.version, |it| it.version);
+                let version = current_id.map_or(initial.version, |it| it.version);
                 return finish(ChangeResult::AlreadyInForce { version });
             }
             Proposal::Unexpected => {
-                let none = Identity { version: 0, digest: Digest([0; 32]) };
-                return finish(conflict_with(identity.unwrap_or(none)));
+                let none = RecordId { version: 0, digest: Digest([0; 32]) };
+                return finish(conflict_result(current_id.unwrap_or(none)));
             }
         };
-        let Identity { version, digest } = (self.identify)(&record);
+        let RecordId { version, digest } = (self.record_id)(&record);
         let entry = HistoryEntry { version, digest, change_id: self.change_id };
-        let stored = Stored::following(current, record, entry);
-        self.send(SentWrite { if_revision, stored, version, is_ambiguous: false })
+        let stored = Stored::successor(current, record, entry);
+        self.send(PendingWrite { if_revision, stored, version, is_ambiguous: false })
     }
 
-    fn send(&mut self, write: SentWrite<T>) -> ChangeAction<T> {
+    fn send(&mut self, write: PendingWrite<T>) -> ChangeAction<T> {
         let action =
             ChangeAction::Write { if_revision: write.if_revision, stored: write.stored.clone() };
         self.write = Some(write);
@@ -356,7 +359,7 @@
         self.call(ChangeAction::Read)
     }
 
-    /// Lets a call pass while the limit allows it.
+    /// Returns `action` while the call limit permits, otherwise the final result.
     fn call(&mut self, action: ChangeAction<T>) -> ChangeAction<T> {
         if self.calls_left > 0 {
             self.calls_left -= 1;
@@ -373,6 +376,6 @@
     ChangeAction::Finished(result)
 }
 
-fn conflict_with(current: Identity) -> ChangeResult {
+fn conflict_result(current: RecordId) -> ChangeResult {
     ChangeResult::Conflict { current_version: current.version, digest: current.digest }
 }
--- a/crates/core/src/control/mod.rs
+++ b/crates/core/src/control/mod.rs
@@ -1,7 +1,7 @@
-//! Versions of the shared control state: configuration and operational state.
+//! Versioned control state shared by all processes: configuration and operational state.
 //!
-//! Each process holds a [`ControlState`], which only ever moves to higher versions. Operators
-//! change the state with a [`ChangeFlow`], which accepts a change by one conditional update.
+//! Each process holds a [`ControlState`], whose versions never decrease. Operators change the state
+//! with a [`ChangeFlow`]; a change is accepted by one conditional update on the platform.
 
 mod operations;
 mod change;
@@ -26,11 +26,11 @@
 
 /// Time between two exchanges of control state with a peer, in milliseconds.
 ///
-/// Three exchanges and a short pause have to fit into the time in which an accepted change is
-/// respected everywhere.
+/// Three exchanges and a short pause must fit into the time within which every process has to act
+/// on an accepted change.
 pub const SYNC_INTERVAL_MS: u64 = 500;
 
-/// Versions of the control state that a process holds; zero means none.
+/// Versions of the control state that a process holds; zero means that it holds none.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Versions {
     /// Version of the environment document.
@@ -40,7 +40,7 @@
 }
 
 impl Versions {
-    /// Tells whether `self` is newer than `other` in either part.
+    /// Tells whether either part of `self` is newer than that of `other`.
     pub fn has_newer_than(self, other: Self) -> bool {
         self.config > other.config || self.operations > other.operations
     }
@@ -49,7 +49,7 @@
 /// An accepted environment document with its version.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ConfigRecord {
-    /// Version, which rises by one with each accepted promotion.
+    /// Version, incremented by each accepted promotion.
     pub version: u64,
     /// Digest of `text`.
     pub digest: Digest,
@@ -60,15 +60,15 @@
 /// Operational state: what operators have taken out of service.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct OperationsRecord {
-    /// Version, which rises by one with each accepted change.
+    /// Version, incremented by each accepted change.
     pub version: u64,
-    /// Names of data centres that receive no new work, in order.
+    /// Names of data centres that receive no new work, sorted.
     pub data_centres_out: Vec<String>,
-    /// Names of upstreams that receive no new work, in order.
+    /// Names of upstreams that receive no new work, sorted.
     pub upstreams_leaving: Vec<String>,
 }
 
-/// Parts of the control state that one process passes to another.
+/// Parts of the control state that one process sends to another.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ControlUpdate {
     /// The configuration, if the receiver holds an older one.
@@ -78,7 +78,7 @@
 }
 
 impl ControlUpdate {
-    /// Tells whether the update carries nothing.
+    /// Tells whether the update contains neither part.
     pub fn is_empty(&self) -> bool {
         self.config.is_none() && self.operations.is_none()
     }
--- a/crates/core/src/control/operations.rs
+++ b/crates/core/src/control/operations.rs
@@ -1,4 +1,4 @@
-//! Changes that operators make to the operational state.
+//! Changes to the operational state made by operators.
 
 use derive_more::Display;
 use serde::{Deserialize, Serialize};
@@ -9,7 +9,7 @@
 /// Version of the operational state before the first change.
 const INITIAL_VERSION: u64 = 1;
 
-/// One change to the operational state; applying it twice equals applying it once.
+/// One idempotent change to the operational state.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum OperationsChange {
@@ -19,7 +19,7 @@
     /// Brings a data centre back into service.
     #[display("data-centre in {_0}")]
     DataCentreIn(String),
-    /// Takes an upstream out of service for good or until it returns.
+    /// Takes an upstream out of service, permanently or until it is brought back.
     #[display("upstream leave {_0}")]
     UpstreamLeave(String),
     /// Brings an upstream back into service.
@@ -28,10 +28,10 @@
 }
 
 impl OperationsRecord {
-    /// State of an environment in which no operator has changed anything yet.
+    /// Returns the state of an environment in which no operator has changed anything yet.
     ///
-    /// A process that reads the platform and finds no stored state adopts this record, so that
-    /// "nothing was ever taken out" differs from "not yet known".
+    /// A process that finds no stored state on the platform adopts this record, so that "nothing
+    /// was ever taken out of service" can be told from "not yet known".
     pub fn initial() -> Self {
         Self { version: INITIAL_VERSION, ..Self::default() }
     }
@@ -60,7 +60,8 @@
         self.upstreams_leaving.iter().any(|it| it == name)
     }
 
-    /// Returns the next version with `change` made, or none if the change is already in force.
+    /// Returns the next version of the record with `change` applied, or `None` if it is already in
+    /// force.
     pub fn with(&self, change: &OperationsChange) -> Option<Self> {
         let mut next = self.clone();
         let is_changed = match change {
@@ -77,7 +78,7 @@
     }
 }
 
-/// Adds a name to an ordered list and tells whether it was missing.
+/// Adds a name to a sorted list; returns true if it was not in the list before.
 fn insert(names: &mut Vec<String>, name: &str) -> bool {
     let Err(position) = names.binary_search_by(|it| it.as_str().cmp(name)) else {
         return false;
@@ -86,7 +87,7 @@
     true
 }
 
-/// Removes a name from a list and tells whether it was there.
+/// Removes a name from a list; returns true if it was in the list.
 fn remove(names: &mut Vec<String>, name: &str) -> bool {
     let count = names.len();
     names.retain(|it| it != name);
--- a/crates/core/src/control/sabotage.rs
+++ b/crates/core/src/control/sabotage.rs
@@ -1,22 +1,22 @@
-//! Mechanisms of this slice that tests may turn off.
+//! Safety mechanisms of this module that tests can disable.
 
-/// A mechanism that a test turns off to show that its oracle notices.
+/// Fault to inject; a test uses it to show that its oracle detects the missing mechanism.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
-    /// Adopt a record whatever its version.
-    RisingVersions,
+    /// Adopt a record even if its version is older than the one in force.
+    MonotonicVersions,
     /// Adopt a record whose text does not match its digest.
     DigestCheck,
-    /// Adopt a different record under the version in force.
+    /// Adopt a different record that has the version in force.
     ConflictCheck,
-    /// Treat a lost answer as a refusal instead of reading back.
+    /// Treat a lost answer as a refusal instead of reading the object back.
     ReadBack,
-    /// Replace the winner of a race instead of reporting a conflict.
+    /// Overwrite the change that won a race instead of reporting a conflict.
     ConflictReport,
-    /// Treat a conflict after a lost answer as a refusal instead of reading back.
+    /// Treat a conflict after a lost answer as a refusal instead of reading the object back.
     ReadBackAfterConflict,
-    /// Look only at the newest record when reading back, not at the history.
+    /// Compare only the latest change when reading back, not the whole history.
     History,
-    /// Withhold newer state from peers.
+    /// Do not send newer state to peers.
     Gossip,
 }
--- a/crates/core/src/control/state.rs
+++ b/crates/core/src/control/state.rs
@@ -1,4 +1,4 @@
-//! Control state that one process holds.
+//! Control state held by one process.
 
 use std::sync::Arc;
 
@@ -10,55 +10,55 @@
     switch::MechanismSwitch,
 };
 
-/// Control state that one process holds; its versions only rise.
+/// Control state held by one process; its versions never decrease.
 #[derive(Clone, Debug)]
 pub struct ControlState {
-    config: Option<HeldConfig>,
+    config: Option<ParsedConfig>,
     operations: Option<Arc<OperationsRecord>>,
-    switch: MechanismSwitch<Sabotage>,
+    mechanisms: MechanismSwitch<Sabotage>,
 }
 
 /// A configuration record with its parsed document.
 #[derive(Clone, Debug)]
-struct HeldConfig {
+struct ParsedConfig {
     record: ConfigRecord,
     document: Arc<Document>,
 }
 
-/// What became of each part of an update.
+/// Outcome of each part of an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct UpdateAdoption {
-    /// What became of the configuration.
+    /// Outcome for the configuration.
     pub config: Adoption,
-    /// What became of the operational state.
+    /// Outcome for the operational state.
     pub operations: Adoption,
 }
 
 impl UpdateAdoption {
-    /// Tells whether either part is newly in force.
+    /// Tells whether either part was adopted.
     pub fn is_changed(&self) -> bool {
         self.config.is_adopted() || self.operations.is_adopted()
     }
 }
 
-/// What became of one part of an update.
+/// Outcome of one part of an update.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Adoption {
-    /// The update did not carry the part.
+    /// The update does not contain the part.
     Absent,
     /// The record is now in force.
     Adopted {
         /// Version now in force.
         version: u64,
     },
-    /// The same record was in force before.
+    /// The same record was already in force.
     AlreadyHeld,
-    /// The record is older than the one in force, which stays.
+    /// The record is older than the one in force, which is kept.
     Older {
         /// Version in force.
         held_version: u64,
     },
-    /// Another record with the same version is in force and stays.
+    /// A different record with the same version is in force and is kept.
     Conflict {
         /// Version of both records.
         version: u64,
@@ -82,13 +82,13 @@
 }
 
 impl Adoption {
-    /// Tells whether the record is newly in force.
+    /// Tells whether the record was adopted.
     pub fn is_adopted(&self) -> bool {
         matches!(self, Self::Adopted { .. })
     }
 
-    /// Tells whether the record contradicts the one in force or itself, which an operator should
-    /// know.
+    /// Tells whether the record is invalid or conflicts with the one in force, which has to be
+    /// reported to an operator.
     pub fn is_error(&self) -> bool {
         matches!(self, Self::Conflict { .. } | Self::DigestMismatch { .. } | Self::Invalid { .. })
     }
@@ -101,15 +101,15 @@
 }
 
 impl ControlState {
-    /// Creates the state of a process that has just started and holds nothing.
+    /// Creates the empty state of a process that has just started.
     pub fn new() -> Self {
-        Self { config: None, operations: None, switch: MechanismSwitch::new() }
+        Self { config: None, operations: None, mechanisms: MechanismSwitch::new() }
     }
 
-    /// Turns one mechanism off.
+    /// Disables one safety mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.disable(mechanism);
+        self.mechanisms.disable(mechanism);
     }
 
     /// Versions that the process holds.
@@ -135,10 +135,10 @@
         self.operations.as_ref()
     }
 
-    /// Returns the document to serve by, or the reason to refuse every request.
+    /// Returns the document to serve requests by, or the reason to refuse every request.
     ///
-    /// A process serves only when it holds both parts: without the operational state it could send
-    /// work to a data centre that is out.
+    /// A process serves only when it holds both parts: without the operational state it might send
+    /// work to a data centre that is out of service.
     pub fn serving_document(&self) -> Result<&Arc<Document>, Reason> {
         let Some(config) = &self.config else {
             return Err(Reason::NoConfiguration);
@@ -149,9 +149,9 @@
         Ok(&config.document)
     }
 
-    /// Collects what a peer that holds `versions` lacks.
+    /// Returns the parts that are newer than those of a peer that holds `versions`.
     pub fn update_for(&self, versions: Versions) -> ControlUpdate {
-        if self.switch.is_disabled(Sabotage::Gossip) {
+        if self.mechanisms.is_disabled(Sabotage::Gossip) {
             return ControlUpdate::default();
         }
         let held = self.versions();
@@ -165,7 +165,7 @@
         update
     }
 
-    /// Takes over each part of `update` that is newer than the part in force.
+    /// Adopts each part of `update` that is newer than the one in force.
     pub fn adopt(&mut self, update: ControlUpdate) -> UpdateAdoption {
         let config = match update.config {
             Some(record) => self.adopt_config(record),
@@ -182,18 +182,18 @@
         let version = record.version;
         let held_digest = self.config().map(|it| it.digest);
         let held_version = self.versions().config;
-        if let Some(refusal) = self.compare(version, record.digest, held_version, held_digest) {
-            return refusal;
+        if let Some(rejection) = self.compare(version, record.digest, held_version, held_digest) {
+            return rejection;
         }
-        let is_checked = !self.switch.is_disabled(Sabotage::DigestCheck);
-        if is_checked && Digest::of(record.text.as_bytes()) != record.digest {
+        let checks_digest = !self.mechanisms.is_disabled(Sabotage::DigestCheck);
+        if checks_digest && Digest::of(record.text.as_bytes()) != record.digest {
             return Adoption::DigestMismatch { version };
         }
         let document = match document::parse(&record.text) {
             Ok(document) => Arc::new(document),
             Err(faults) => return Adoption::Invalid { version, faults },
         };
-        self.config = Some(HeldConfig { record, document });
+        self.config = Some(ParsedConfig { record, document });
         Adoption::Adopted { version }
     }
 
@@ -201,14 +201,15 @@
         let version = record.version;
         let held_digest = self.operations().map(|it| it.digest());
         let held_version = self.versions().operations;
-        if let Some(refusal) = self.compare(version, record.digest(), held_version, held_digest) {
-            return refusal;
+        if let Some(rejection) = self.compare(version, record.digest(), held_version, held_digest) {
+            return rejection;
         }
         self.operations = Some(Arc::new(record));
         Adoption::Adopted { version }
     }
 
-    /// Decides by version and digest alone; none means that the record is newer.
+    /// Decides by version and digest alone; returns `None` if the record is newer and may be
+    /// adopted.
     fn compare(
         &self,
         version: u64,
@@ -216,11 +217,11 @@
         held_version: u64,
         held: Option<Digest>,
     ) -> Option<Adoption> {
-        // Version zero means "none", so no record may carry it.
+        // Version zero means that no record is held, so no record may have it.
         if version == 0 {
             return Some(Adoption::Older { held_version });
         }
-        if version < held_version && !self.switch.is_disabled(Sabotage::RisingVersions) {
+        if version < held_version && !self.mechanisms.is_disabled(Sabotage::MonotonicVersions) {
             return Some(Adoption::Older { held_version });
         }
         if version > held_version {
@@ -230,7 +231,7 @@
         if held == offered {
             return Some(Adoption::AlreadyHeld);
         }
-        if self.switch.is_disabled(Sabotage::ConflictCheck) || version < held_version {
+        if self.mechanisms.is_disabled(Sabotage::ConflictCheck) || version < held_version {
             return None;
         }
         Some(Adoption::Conflict { version, held, offered })
--- a/crates/core/src/control/tests.rs
+++ b/crates/core/src/control/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of control state and changes by operators.
+//! Tests of the control state and of operators' changes.
 
 use std::sync::Arc;
 
@@ -20,7 +20,7 @@
 }
 
 #[test]
-fn serves_only_with_both_parts() {
+fn serves_only_with_configuration_and_operational_state() {
     let mut state = ControlState::new();
     assert_eq!(state.serving_document().unwrap_err(), Reason::NoConfiguration);
     state.adopt(update(config(1, TEXT)));
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn adopts_only_rising_versions() {
+fn older_or_conflicting_records_are_not_adopted() {
     let mut state = ControlState::new();
     assert!(state.adopt(update(config(2, TEXT))).is_changed());
     let older = state.adopt(update(config(1, "")));
@@ -43,11 +43,11 @@
 }
 
 #[test]
-fn keeps_the_document_in_force_when_a_newer_one_is_refused() {
+fn invalid_newer_document_leaves_the_one_in_force() {
     let mut state = ControlState::new();
     state.adopt(update(config(1, TEXT)));
     let mut broken = config(2, "");
-    broken.text = Arc::from("changed on the way");
+    broken.text = Arc::from("changed in transit");
     assert_eq!(state.adopt(update(broken)).config, Adoption::DigestMismatch { version: 2 });
     let invalid = state.adopt(update(config(3, "colour = 1")));
     assert!(matches!(invalid.config, Adoption::Invalid { version: 3, .. }));
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn passes_on_only_what_the_peer_lacks() {
+fn update_contains_only_parts_newer_than_the_peers() {
     let mut state = ControlState::new();
     state.adopt(update(config(3, TEXT)));
     assert!(state.update_for(Versions { config: 3, operations: 0 }).is_empty());
@@ -63,12 +63,12 @@
 }
 
 #[test]
-fn promotes_the_first_document() {
+fn first_promotion_creates_the_object_as_version_one() {
     let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, change_id(1)).unwrap();
     assert_eq!(flow.start(), ChangeAction::Read);
     let ChangeAction::Write { if_revision: None, stored } = flow.handle(ChangeEvent::Missing)
     else {
-        panic!("a missing object is created");
+        panic!("a missing object has to be created");
     };
     assert_eq!(stored.record, config(1, TEXT));
     let result = flow.handle(ChangeEvent::Written);
@@ -76,22 +76,22 @@
 }
 
 #[test]
-fn finds_its_change_in_the_history_after_a_lost_answer() {
+fn lost_answer_is_resolved_from_the_history() {
     let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, change_id(1)).unwrap();
     flow.start();
     let ChangeAction::Write { stored, .. } = flow.handle(ChangeEvent::Missing) else {
-        panic!("a missing object is created");
+        panic!("a missing object has to be created");
     };
     assert_eq!(flow.handle(ChangeEvent::AnswerLost), ChangeAction::Read);
     let record = config(2, "");
     let entry = HistoryEntry { version: 2, digest: record.digest, change_id: change_id(2) };
-    let newer = Stored::following(Some(&stored), record, entry);
+    let newer = Stored::successor(Some(&stored), record, entry);
     let result = flow.handle(ChangeEvent::Read { revision: 2, stored: newer });
     assert_eq!(result, ChangeAction::Finished(ChangeResult::Accepted { version: 1 }));
 }
 
 #[test]
-fn sends_an_unsettled_write_again_under_the_same_condition() {
+fn unsettled_write_is_sent_again_with_the_same_condition() {
     let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, change_id(1)).unwrap();
     flow.start();
     let write = flow.handle(ChangeEvent::Missing);
@@ -100,7 +100,7 @@
 }
 
 #[test]
-fn reports_the_winner_of_a_race() {
+fn promotion_that_loses_a_race_reports_the_version_in_force() {
     let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, change_id(1)).unwrap();
     flow.start();
     flow.handle(ChangeEvent::Missing);
@@ -108,14 +108,14 @@
     let record = config(1, "");
     let digest = record.digest;
     let entry = HistoryEntry { version: 1, digest, change_id: change_id(2) };
-    let stored = Stored::following(None, record, entry);
+    let stored = Stored::successor(None, record, entry);
     let result = flow.handle(ChangeEvent::Read { revision: 1, stored });
     let conflict = ChangeResult::Conflict { current_version: 1, digest };
     assert_eq!(result, ChangeAction::Finished(conflict));
 }
 
 #[test]
-fn makes_an_operations_change_again_on_the_newer_state() {
+fn operations_change_that_loses_a_race_is_applied_to_the_newer_state() {
     let out = |name: &str| OperationsChange::DataCentreOut(name.to_owned());
     let mut flow = ChangeFlow::change_operations(out("east"), change_id(1));
     flow.start();
@@ -123,10 +123,10 @@
     flow.handle(ChangeEvent::Conflict);
     let record = OperationsRecord::initial().with(&out("west")).unwrap();
     let entry = HistoryEntry { version: 2, digest: record.digest(), change_id: change_id(2) };
-    let stored = Stored::following(None, record, entry);
+    let stored = Stored::successor(None, record, entry);
     let action = flow.handle(ChangeEvent::Read { revision: 1, stored });
     let ChangeAction::Write { if_revision: Some(1), stored } = action else {
-        panic!("the change is made again");
+        panic!("the change has to be applied again");
     };
     assert_eq!(stored.record.data_centres_out, ["east", "west"]);
     assert_eq!(stored.record.version, 3);
--- a/crates/core/tests/control_fuzz/main.rs
+++ b/crates/core/tests/control_fuzz/main.rs
@@ -1,54 +1,54 @@
-//! Fuzzes the spread of control state and the acceptance of changes.
+//! Fuzzes the propagation of control state and the acceptance of changes.
 //!
-//! The oracle knows only the writes that took effect on the platform: versions at a process never
-//! fall, every record in force was accepted, an accepted change stays in the history, a refused one
-//! never enters it, and connected processes converge.
+//! The oracle knows only the writes that took effect on the platform. It checks that versions at a
+//! process never decrease, that every record in force was accepted, that an accepted change stays
+//! in the history and a refused one never enters it, and that connected processes converge.
 
 #[path = "../harness/mod.rs"]
 mod harness;
 mod object;
-mod world;
+mod simulation;
 
 use harness::{FuzzSettings, assert_invariants_hold, steps};
-use object::Fate;
+use object::CallOutcome;
 use proptest::prelude::*;
-use world::{ControlWorld, PROCESSES};
+use simulation::{ControlSimulation, PROCESSES};
 use yuccatrail_core::control::Sabotage;
 
 const FUZZ: FuzzSettings = FuzzSettings { seed: 1, cases: 1_000, steps: 120 };
 
 steps! {
-    3 Promote { text: u8 = 0..4_u8, is_strict: bool = any::<bool>() }
-    2 Operate { change: u8 = 0..6_u8 }
-    12 CallConfig { operator: usize = 0..4_usize, fate: Fate = fate() }
-    12 CallOperations { operator: usize = 0..4_usize, fate: Fate = fate() }
-    1 LandLateConfig { index: usize = 0..4_usize }
-    1 LandLateOperations { index: usize = 0..4_usize }
+    3 Promote { text: u8 = 0..4_u8, expects_version: bool = any::<bool>() }
+    2 ChangeOperations { change: u8 = 0..6_u8 }
+    12 CallConfig { operator: usize = 0..4_usize, outcome: CallOutcome = outcome() }
+    12 CallOperations { operator: usize = 0..4_usize, outcome: CallOutcome = outcome() }
+    1 ApplyDelayedConfig { index: usize = 0..4_usize }
+    1 ApplyDelayedOperations { index: usize = 0..4_usize }
     4 Watch { process: usize = 0..PROCESSES }
     6 Send { from: usize = 0..PROCESSES, to: usize = 0..PROCESSES }
-    10 Deliver { index: usize = 0..8_usize, is_repeated: bool = any::<bool>() }
+    10 Deliver { index: usize = 0..8_usize, is_duplicated: bool = any::<bool>() }
     1 Restart { process: usize = 0..PROCESSES }
-    1 SetPlatform { is_up: bool = any::<bool>() }
-    1 Partition { mask: u8 = any::<u8>() }
-    1 ForgeRecord { process: usize = 0..PROCESSES }
-    1 GarbleRecord { process: usize = 0..PROCESSES }
+    1 SetPlatform { is_platform_up: bool = any::<bool>() }
+    1 SetPartition { partition: u8 = any::<u8>() }
+    1 OfferConflictingRecord { process: usize = 0..PROCESSES }
+    1 OfferCorruptRecord { process: usize = 0..PROCESSES }
 }
 
-fn fate() -> impl Strategy<Value = Fate> {
+fn outcome() -> impl Strategy<Value = CallOutcome> {
     prop_oneof![
-        4 => Just(Fate::Answered),
-        1 => Just(Fate::Unavailable),
-        2 => Just(Fate::AnswerLostAfterEffect),
-        1 => Just(Fate::EffectDelayed),
+        4 => Just(CallOutcome::Answered),
+        1 => Just(CallOutcome::Unavailable),
+        2 => Just(CallOutcome::AnswerLostAfterEffect),
+        1 => Just(CallOutcome::EffectDelayed),
     ]
 }
 
-impl harness::Simulation for ControlWorld {
+impl harness::Simulation for ControlSimulation {
     type Mechanism = Sabotage;
     type Step = Step;
 
-    fn new(off: Option<Sabotage>) -> Self {
-        Self::start(off)
+    fn new(disabled: Option<Sabotage>) -> Self {
+        Self::start(disabled)
     }
 
     fn step() -> BoxedStrategy<Step> {
@@ -57,24 +57,26 @@
 
     fn apply(&mut self, step: Step) {
         match step {
-            Step::Promote { text, is_strict } => self.promote(text, is_strict),
-            Step::Operate { change } => self.operate(change),
-            Step::CallConfig { operator, fate } => self.config.call(operator, fate, self.is_up),
-            Step::CallOperations { operator, fate } => {
-                self.operations.call(operator, fate, self.is_up);
+            Step::Promote { text, expects_version } => self.promote(text, expects_version),
+            Step::ChangeOperations { change } => self.change_operations(change),
+            Step::CallConfig { operator, outcome } => {
+                self.config.call(operator, outcome, self.is_platform_up)
             }
-            Step::LandLateConfig { index } => self.config.land(index),
-            Step::LandLateOperations { index } => self.operations.land(index),
+            Step::CallOperations { operator, outcome } => {
+                self.operations.call(operator, outcome, self.is_platform_up);
+            }
+            Step::ApplyDelayedConfig { index } => self.config.apply_delayed(index),
+            Step::ApplyDelayedOperations { index } => self.operations.apply_delayed(index),
             Step::Watch { process } => self.watch(process),
             Step::Send { from, to } => self.send(from, to),
-            Step::Deliver { index, is_repeated } => self.deliver(index, is_repeated),
+            Step::Deliver { index, is_duplicated } => self.deliver(index, is_duplicated),
             Step::Restart { process } => self.restart(process),
-            Step::SetPlatform { is_up } => self.is_up = is_up,
-            Step::Partition { mask } => self.mask = mask,
-            Step::ForgeRecord { process } => self.forge(process),
-            Step::GarbleRecord { process } => self.garble(process),
+            Step::SetPlatform { is_platform_up } => self.is_platform_up = is_platform_up,
+            Step::SetPartition { partition } => self.partition = partition,
+            Step::OfferConflictingRecord { process } => self.offer_conflicting(process),
+            Step::OfferCorruptRecord { process } => self.offer_corrupt(process),
         }
-        self.raise_floors();
+        self.check_versions();
     }
 
     fn check(&self) {
@@ -82,20 +84,20 @@
     }
 
     fn finish(self) {
-        self.heal();
+        self.recover();
     }
 }
 
 #[test]
-fn control_state_never_falls_back_and_accepted_changes_stay() {
-    assert_invariants_hold::<ControlWorld>(FUZZ);
+fn versions_never_decrease_and_accepted_changes_persist() {
+    assert_invariants_hold::<ControlSimulation>(FUZZ);
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn the_oracle_notices_each_missing_mechanism() {
-    for off in [
-        Sabotage::RisingVersions,
+fn oracle_detects_each_disabled_mechanism() {
+    for disabled in [
+        Sabotage::MonotonicVersions,
         Sabotage::DigestCheck,
         Sabotage::ConflictCheck,
         Sabotage::ReadBack,
@@ -104,6 +106,6 @@
         Sabotage::History,
         Sabotage::Gossip,
     ] {
-        harness::assert_detected::<ControlWorld>(FUZZ, off);
+        harness::assert_detected::<ControlSimulation>(FUZZ, disabled);
     }
 }
