--- a/crates/core/src/drain/freshness.rs
+++ b/crates/core/src/drain/freshness.rs
@@ -1,21 +1,21 @@
-//! Age of the control state and detection of process pauses.
+//! Age of the control state, and detection of process pauses.
 
 use super::Sabotage;
 use crate::switch::MechanismSwitch;
 
-/// Longest gap between two ticks that does not count as a pause, in milliseconds.
+/// Longest interval between two ticks that does not count as a pause, in milliseconds.
 const PAUSE_LIMIT_MS: u64 = 500;
 
-/// Time after a pause for which the process waits for a confirmation, in milliseconds.
+/// Time for which a process waits for a confirmation after a pause, in milliseconds.
 const CONFIRMATION_GRACE_MS: u64 = 2_000;
 
 /// Limits of pause detection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct FreshnessSettings {
-    /// Longest gap between two ticks that does not count as a pause, in milliseconds.
+    /// Longest interval between two ticks that does not count as a pause, in milliseconds.
     pub pause_limit_ms: u64,
-    /// Time after a pause for which the process waits for a confirmation, in milliseconds. It has
-    /// to cover the rounds in which control state spreads.
+    /// Time for which the process waits for a confirmation after a pause, in milliseconds. It must
+    /// cover the exchanges by which control state propagates between processes.
     pub confirmation_grace_ms: u64,
 }
 
@@ -25,19 +25,19 @@
     }
 }
 
-/// Tracks how old the control state of a process may be.
+/// Tracks the maximum age of a process's control state and detects pauses of the process.
 ///
-/// Times are those of a monotonic clock that goes on while the process is paused. On machines that
-/// may be suspended as a whole this has to be the boot-time clock.
+/// Times come from a monotonic clock that keeps running while the process is paused. On machines
+/// that may be suspended as a whole it must be the boot-time clock.
 #[derive(Clone, Debug)]
 pub struct Freshness {
     settings: FreshnessSettings,
     last_tick_ms: u64,
-    /// End of the last pause, until the control state is confirmed as of a later time.
-    woke_ms: Option<u64>,
-    /// Latest time for which it is known that the control state held then was the newest.
-    known_as_of_ms: Option<u64>,
-    switch: MechanismSwitch<Sabotage>,
+    /// End of the last pause; cleared once the control state is confirmed as of a later time.
+    resumed_ms: Option<u64>,
+    /// Latest time at which the control state is known to have been the newest.
+    confirmed_as_of_ms: Option<u64>,
+    mechanisms: MechanismSwitch<Sabotage>,
 }
 
 impl Freshness {
@@ -46,76 +46,78 @@
         Self {
             settings,
             last_tick_ms: now_ms,
-            woke_ms: None,
-            known_as_of_ms: None,
-            switch: MechanismSwitch::new(),
+            resumed_ms: None,
+            confirmed_as_of_ms: None,
+            mechanisms: MechanismSwitch::new(),
         }
     }
 
-    /// Turns one mechanism off.
+    /// Disables one safety mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.disable(mechanism);
+        self.mechanisms.disable(mechanism);
     }
 
-    /// Notes that the process runs; called several times within the pause limit.
+    /// Records that the process is running; must be called several times within the pause limit.
     ///
-    /// Returns the length of the pause if the process was paused since the last tick, in
-    /// milliseconds; it then asks its peers at once.
+    /// If the process was paused since the last tick, returns the length of the pause in
+    /// milliseconds; the caller then asks its peers for their control state immediately.
     pub fn tick(&mut self, now_ms: u64) -> Option<u64> {
         let gap_ms = now_ms.saturating_sub(self.last_tick_ms);
         self.last_tick_ms = self.last_tick_ms.max(now_ms);
         if gap_ms <= self.settings.pause_limit_ms
-            || self.switch.is_disabled(Sabotage::PauseDetection)
+            || self.mechanisms.is_disabled(Sabotage::PauseDetection)
         {
             return None;
         }
-        self.woke_ms = Some(now_ms);
+        self.resumed_ms = Some(now_ms);
         Some(gap_ms)
     }
 
-    /// Notes an answer after whose adoption the process holds all that the answering side holds.
+    /// Records a reply after whose adoption the process holds everything that the sender of the
+    /// reply holds.
     ///
-    /// `sent_ms` is the time before the question was sent. `age_ms` is the age that the answering
-    /// peer stated for its own control state, and zero for the platform.
+    /// `sent_ms` is a time before the request was sent. `age_ms` is the age that the peer reported
+    /// for its own control state, and zero if the platform replied.
     pub fn confirm(&mut self, sent_ms: u64, age_ms: u64) {
-        let age_ms = match self.switch.is_disabled(Sabotage::ConfirmationAge) {
+        let age_ms = match self.mechanisms.is_disabled(Sabotage::ConfirmationAge) {
             true => 0,
             false => age_ms,
         };
         let Some(as_of_ms) = sent_ms.checked_sub(age_ms) else {
             return;
         };
-        self.known_as_of_ms = self.known_as_of_ms.max(Some(as_of_ms));
-        if self.woke_ms.is_some_and(|woke_ms| as_of_ms >= woke_ms) {
-            self.woke_ms = None;
+        self.confirmed_as_of_ms = self.confirmed_as_of_ms.max(Some(as_of_ms));
+        if self.resumed_ms.is_some_and(|resumed_ms| as_of_ms >= resumed_ms) {
+            self.resumed_ms = None;
         }
     }
 
-    /// Upper bound on the age of the control state, in milliseconds; none if it was never
-    /// confirmed.
+    /// Returns an upper bound on the age of the control state, in milliseconds; `None` if it was
+    /// never confirmed.
     pub fn age_ms(&self, now_ms: u64) -> Option<u64> {
-        self.known_as_of_ms.map(|it| now_ms.saturating_sub(it))
+        self.confirmed_as_of_ms.map(|it| now_ms.saturating_sub(it))
     }
 
-    /// Tells whether the process waits for a confirmation after a pause.
+    /// Tells whether the control state still has to be confirmed after a pause.
     pub fn awaits_confirmation(&self) -> bool {
-        self.woke_ms.is_some()
+        self.resumed_ms.is_some()
     }
 
     /// Tells whether the process may act on its control state.
     ///
-    /// After a pause that needs a confirmation. Where none comes, because neither the platform nor
-    /// a peer with recent knowledge can be reached, the process goes on after the grace.
+    /// After a pause this requires a confirmation. If none arrives, because neither the platform
+    /// nor a peer with recent control state can be reached, the process continues after the grace
+    /// period.
     pub fn is_trusted(&mut self, now_ms: u64) -> bool {
         self.tick(now_ms);
-        let Some(woke_ms) = self.woke_ms else {
+        let Some(resumed_ms) = self.resumed_ms else {
             return true;
         };
-        if now_ms.saturating_sub(woke_ms) < self.settings.confirmation_grace_ms {
+        if now_ms.saturating_sub(resumed_ms) < self.settings.confirmation_grace_ms {
             return false;
         }
-        self.woke_ms = None;
+        self.resumed_ms = None;
         true
     }
 }
--- a/crates/core/src/drain/mod.rs
+++ b/crates/core/src/drain/mod.rs
@@ -1,8 +1,8 @@
-//! Refusal of new work while an upstream, a data centre or a process goes out of service.
+//! Refusal of new work when an upstream, a data centre or a process is taken out of service.
 //!
-//! An agent asks its [`Gate`] before it accepts and before it dispatches a call. A process that is
-//! told to stop follows its [`GracefulShutdown`]. Neither ever cuts work in progress, except when an
-//! operator has set a time limit for the stop.
+//! An agent checks its [`Gate`] before it accepts a call and again before it dispatches one. A
+//! process that is told to stop follows its [`GracefulShutdown`]. Neither aborts work in progress,
+//! unless an operator has set a time limit for the shutdown.
 
 mod freshness;
 mod gate;
--- a/crates/core/src/drain/sabotage.rs
+++ b/crates/core/src/drain/sabotage.rs
@@ -1,18 +1,18 @@
-//! Mechanisms of this slice that tests may turn off.
+//! Safety mechanisms of this module that tests can disable.
 
-/// A mechanism that a test turns off to show that its oracle notices.
+/// Fault to inject; a test uses it to show that its oracle detects the missing mechanism.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
-    /// Dispatch queued work right after a pause.
+    /// Dispatch queued work immediately after a pause.
     PauseDetection,
-    /// Trust every answer of a peer, however old its own knowledge is.
+    /// Count every reply of a peer as a confirmation, however old the peer's own control state is.
     ConfirmationAge,
     /// Keep accepting work after the operational state has closed the gate.
     Operations,
     /// Let an older instance list replace a newer one.
     ListVersion,
     /// Keep queued work when the gate closes.
-    HandBack,
-    /// Finish a planned stop while work is in progress.
+    RefuseQueued,
+    /// Finish a graceful shutdown while work is in progress.
     AwaitWork,
 }
--- a/crates/core/src/drain/tests.rs
+++ b/crates/core/src/drain/tests.rs
@@ -1,4 +1,4 @@
-//! Tests of the gate for new work and planned stops.
+//! Tests of the gate for new work and of graceful shutdowns.
 
 use std::sync::Arc;
 
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn refuses_everything_without_control_state() {
+fn gate_refuses_all_work_without_control_state() {
     let mut gate = gate();
     assert_eq!(gate.may_accept(0), Err(Reason::NoConfiguration));
     gate.set_control(&control(&[]));
@@ -46,7 +46,7 @@
 }
 
 #[test]
-fn closes_for_an_upstream_or_data_centre_that_is_out() {
+fn gate_closes_when_its_upstream_or_data_centre_is_taken_out() {
     let mut gate = open_gate();
     let other = control(&[OperationsChange::DataCentreOut("west".to_owned())]);
     assert_eq!(gate.set_control(&other), GateChange::Unchanged);
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn ignores_an_older_instance_list() {
+fn gate_ignores_an_older_instance_list() {
     let mut gate = open_gate();
     assert_eq!(gate.set_listed(5, InstanceState::Leaving), GateChange::Closed(Reason::Leaving));
     assert_eq!(gate.set_listed(4, InstanceState::Live), GateChange::Unchanged);
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn holds_queued_work_after_a_pause_until_confirmed() {
+fn queued_work_waits_after_a_pause_until_control_state_is_confirmed() {
     let mut gate = open_gate();
     assert!(!gate.tick(500));
     assert_eq!(gate.may_dispatch(5_000), Err(DispatchHold::Unconfirmed));
-    // The question was sent before the pause.
+    // The request was sent before the pause.
     gate.confirm(400, 0);
     assert_eq!(gate.may_dispatch(5_010), Err(DispatchHold::Unconfirmed));
-    // The peer's own knowledge is older than the end of the pause.
+    // The peer's own control state was last confirmed before the end of the pause.
     gate.confirm(5_020, 100);
     assert_eq!(gate.may_dispatch(5_030), Err(DispatchHold::Unconfirmed));
     gate.confirm(5_020, 20);
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn goes_on_after_the_grace_when_nobody_answers() {
+fn dispatch_resumes_after_the_grace_period_without_confirmation() {
     let mut gate = open_gate();
     assert!(gate.tick(5_000));
     for now_ms in [5_500, 6_000, 6_500, 6_999] {
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn stops_for_good() {
+fn stopped_gate_never_opens_again() {
     let mut gate = open_gate();
     assert_eq!(gate.stop(), GateChange::Closed(Reason::Stopping));
     assert_eq!(gate.set_control(&control(&[])), GateChange::Unchanged);
@@ -101,22 +101,23 @@
 }
 
 #[test]
-fn finishes_a_planned_stop_when_idle() {
-    let mut stop = GracefulShutdown::new(ShutdownSettings { notice_ms: 100, time_limit_ms: None });
-    assert_eq!(stop.advance(0, 0), ShutdownPhase::Running);
-    stop.begin(1_000);
-    assert!(!stop.is_ready());
-    assert_eq!(stop.advance(1_050, 0), ShutdownPhase::Draining);
-    assert_eq!(stop.advance(900_000, 1), ShutdownPhase::Draining);
-    assert_eq!(stop.advance(900_001, 0), ShutdownPhase::Finished { cut: 0 });
+fn shutdown_finishes_once_no_call_is_in_progress() {
+    let mut shutdown =
+        GracefulShutdown::new(ShutdownSettings { notice_ms: 100, time_limit_ms: None });
+    assert_eq!(shutdown.advance(0, 0), ShutdownPhase::Running);
+    shutdown.begin(1_000);
+    assert!(!shutdown.is_ready());
+    assert_eq!(shutdown.advance(1_050, 0), ShutdownPhase::Draining);
+    assert_eq!(shutdown.advance(900_000, 1), ShutdownPhase::Draining);
+    assert_eq!(shutdown.advance(900_001, 0), ShutdownPhase::Finished { cut: 0 });
 }
 
 #[test]
-fn tells_how_many_calls_the_time_limit_cuts() {
-    let mut stop =
+fn shutdown_reports_the_calls_aborted_at_the_time_limit() {
+    let mut shutdown =
         GracefulShutdown::new(ShutdownSettings { notice_ms: 0, time_limit_ms: Some(50) });
-    stop.begin(0);
-    stop.begin(40);
-    assert_eq!(stop.advance(49, 3), ShutdownPhase::Draining);
-    assert_eq!(stop.advance(50, 3), ShutdownPhase::Finished { cut: 3 });
+    shutdown.begin(0);
+    shutdown.begin(40);
+    assert_eq!(shutdown.advance(49, 3), ShutdownPhase::Draining);
+    assert_eq!(shutdown.advance(50, 3), ShutdownPhase::Finished { cut: 3 });
 }
--- a/crates/core/tests/drain_fuzz/main.rs
+++ b/crates/core/tests/drain_fuzz/main.rs
@@ -1,15 +1,16 @@
-//! Fuzzes the refusal of new work with frozen processes, stale entries and platform outages.
+//! Fuzzes the refusal of new work with paused processes, stale entries and platform outages.
 //!
-//! The oracle knows when a change was accepted and which ways for news were open: once both have
-//! lasted for the bound, nothing may be dispatched at an upstream that is out.
+//! The oracle knows when a change was accepted and which routes were open for control state to
+//! reach an agent. Once both have lasted for the propagation bound, nothing may be dispatched at an
+//! upstream that is out of service.
 
 #[path = "../harness/mod.rs"]
 mod harness;
-mod world;
+mod simulation;
 
 use harness::{FuzzSettings, assert_invariants_hold, steps};
 use proptest::{bool::weighted, prelude::*};
-use world::{AGENTS, DrainWorld, ENTRIES};
+use simulation::{AGENTS, DrainSimulation, ENTRIES};
 use yuccatrail_core::drain::Sabotage;
 
 const FUZZ: FuzzSettings = FuzzSettings { seed: 2, cases: 1_000, steps: 100 };
@@ -19,9 +20,9 @@
     4 Change { number: usize = 0..4 * AGENTS }
     12 Submit { agent: usize = 0..AGENTS }
     4 FinishCall { agent: usize = 0..AGENTS }
-    6 FreezeAgent { agent: usize = 0..AGENTS, is_frozen: bool = any::<bool>() }
-    2 Stutter { agent: usize = 0..AGENTS, ticks: u64 = 2..12_u64, times: u64 = 2..8_u64 }
-    2 FreezeEntry { entry: usize = 0..ENTRIES, is_frozen: bool = weighted(0.3) }
+    6 PauseAgent { agent: usize = 0..AGENTS, is_paused: bool = any::<bool>() }
+    2 PauseRepeatedly { agent: usize = 0..AGENTS, ticks: u64 = 2..12_u64, times: u64 = 2..8_u64 }
+    2 PauseEntry { entry: usize = 0..ENTRIES, is_paused: bool = weighted(0.3) }
     2 IsolateEntry { entry: usize = 0..ENTRIES, is_isolated: bool = any::<bool>() }
     2 LinkPlatform { entry: usize = 0..ENTRIES, is_linked: bool = weighted(0.8) }
     2 LinkAgent { agent: usize = 0..AGENTS, entry: usize = 0..ENTRIES, is_linked: bool = weighted(0.8) }
@@ -31,12 +32,12 @@
     1 Stop { agent: usize = 0..AGENTS }
 }
 
-impl harness::Simulation for DrainWorld {
+impl harness::Simulation for DrainSimulation {
     type Mechanism = Sabotage;
     type Step = Step;
 
-    fn new(off: Option<Sabotage>) -> Self {
-        Self::start(off)
+    fn new(disabled: Option<Sabotage>) -> Self {
+        Self::start(disabled)
     }
 
     fn step() -> BoxedStrategy<Step> {
@@ -52,12 +53,14 @@
                 let running = &mut self.agents[agent].running;
                 *running = running.saturating_sub(1);
             }
-            Step::FreezeAgent { agent, is_frozen } => {
+            Step::PauseAgent { agent, is_paused } => {
                 self.submit(agent);
-                self.agents[agent].is_frozen = is_frozen;
+                self.agents[agent].is_paused = is_paused;
             }
-            Step::Stutter { agent, ticks, times } => self.stutter(agent, ticks, times),
-            Step::FreezeEntry { entry, is_frozen } => self.entries[entry].is_frozen = is_frozen,
+            Step::PauseRepeatedly { agent, ticks, times } => {
+                self.pause_repeatedly(agent, ticks, times)
+            }
+            Step::PauseEntry { entry, is_paused } => self.entries[entry].is_paused = is_paused,
             Step::IsolateEntry { entry, is_isolated } => {
                 self.entries[entry].is_platform_linked = !is_isolated;
                 self.are_entries_linked = !is_isolated;
@@ -75,46 +78,46 @@
         }
     }
 
-    /// Every dispatch is checked where it happens.
+    /// Nothing: every dispatch is checked as it happens.
     fn check(&self) {}
 
     fn finish(self) {
-        self.heal();
+        self.recover();
     }
 }
 
 #[test]
-fn nothing_is_dispatched_after_the_bound() {
-    assert_invariants_hold::<DrainWorld>(FUZZ);
+fn nothing_is_dispatched_after_the_propagation_bound() {
+    assert_invariants_hold::<DrainSimulation>(FUZZ);
 }
 
 #[test]
-fn repeated_short_pauses_do_not_break_the_bound() {
+fn repeated_short_pauses_do_not_exceed_the_propagation_bound() {
     for ticks in 1..12 {
-        for lead in 1..24 {
-            let mut world = DrainWorld::start(None);
-            world.agents[0].is_frozen = true;
-            world.change(0);
-            world.advance(lead);
-            // The agent wakes for long enough to take a call, and no longer.
-            world.agents[0].is_frozen = false;
-            world.submit(0);
-            world.stutter(0, ticks, 8);
+        for delay in 1..24 {
+            let mut simulation = DrainSimulation::start(None);
+            simulation.agents[0].is_paused = true;
+            simulation.change(0);
+            simulation.advance(delay);
+            // The agent runs just long enough to accept a call.
+            simulation.agents[0].is_paused = false;
+            simulation.submit(0);
+            simulation.pause_repeatedly(0, ticks, 8);
         }
     }
 }
 
 #[cfg(feature = "sabotage")]
 #[test]
-fn the_oracle_notices_each_missing_mechanism() {
-    for off in [
+fn oracle_detects_each_disabled_mechanism() {
+    for disabled in [
         Sabotage::PauseDetection,
         Sabotage::ConfirmationAge,
         Sabotage::Operations,
         Sabotage::ListVersion,
-        Sabotage::HandBack,
+        Sabotage::RefuseQueued,
         Sabotage::AwaitWork,
     ] {
-        harness::assert_detected::<DrainWorld>(FUZZ, off);
+        harness::assert_detected::<DrainSimulation>(FUZZ, disabled);
     }
 }
