--- a/crates/core/src/membership/upstream.rs
+++ b/crates/core/src/membership/upstream.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 
 use super::{InstanceRecord, InstanceState, Sabotage};
-use crate::{ids::Incarnation, outcome::Reason, switch::Switch};
+use crate::{ids::Incarnation, outcome::Reason, switch::MechanismSwitch};
 
 /// State of an agent according to one of its responses.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -106,9 +106,9 @@
     }
 
     /// Replaces the record by that of a newer list.
-    pub(super) fn update_record(&mut self, record: InstanceRecord, switch: &Switch<Sabotage>) {
+    pub(super) fn update_record(&mut self, record: InstanceRecord, switch: &MechanismSwitch<Sabotage>) {
         if let Some(report) = &mut self.last_report
-            && switch.is_off(Sabotage::ReportOverList)
+            && switch.is_disabled(Sabotage::ReportOverList)
         {
             report.is_draining = record.state == InstanceState::Leaving;
         }
@@ -122,9 +122,9 @@
     pub(super) fn apply_report(
         &mut self,
         report: AgentReport,
-        switch: &Switch<Sabotage>,
+        switch: &MechanismSwitch<Sabotage>,
     ) -> Option<Incarnation> {
-        let is_order_checked = !switch.is_off(Sabotage::ReportOrder);
+        let is_order_checked = !switch.is_disabled(Sabotage::ReportOrder);
         let is_outdated = self.last_report.is_some_and(|known| !is_later(&report, &known));
         if is_outdated && is_order_checked {
             return None;
--- a/crates/core/src/quarantine/crashes.rs
+++ b/crates/core/src/quarantine/crashes.rs
@@ -14,7 +14,7 @@
     FastMap,
     ids::{Digest, Incarnation},
     quarantine::{Admission, Quarantine, QuarantineLimits, Strike},
-    switch::Switch,
+    switch::MechanismSwitch,
 };
 
 /// Number of upstream crashes after which a request is refused, as the requirements of the users
@@ -40,7 +40,7 @@
     quarantine: Quarantine,
     /// Time of the last completion of each request, in milliseconds.
     completed_ms_by_request: FastMap<RequestHash, u64>,
-    switch: Switch<CrashSabotage>,
+    switch: MechanismSwitch<CrashSabotage>,
 }
 
 /// Mechanisms that tests disable to show that the test oracle detects it.
@@ -71,14 +71,14 @@
         Self {
             quarantine: Quarantine::new(limits),
             completed_ms_by_request: FastMap::default(),
-            switch: Switch::new(),
+            switch: MechanismSwitch::new(),
         }
     }
 
     /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, sabotage: CrashSabotage) {
-        self.switch.turn_off(sabotage);
+        self.switch.disable(sabotage);
     }
 
     /// Returns whether no strikes are held, so that no request needs its digest computed.
@@ -102,7 +102,7 @@
     ) -> bool {
         let completed_ms = self.completed_ms_by_request.get(&request).copied();
         let has_completed = completed_ms.is_some_and(|it| now_ms < it + COMPLETION_RETENTION_MS);
-        if has_completed && !self.switch.is_off(CrashSabotage::EarlierCompletion) {
+        if has_completed && !self.switch.is_disabled(CrashSabotage::EarlierCompletion) {
             return false;
         }
         // An incarnation of an upstream crashes only once.
@@ -122,14 +122,14 @@
         if self.completed_ms_by_request.len() < MAX_COMPLETIONS {
             self.completed_ms_by_request.insert(request, now_ms);
         }
-        if !self.is_empty() && !self.switch.is_off(CrashSabotage::LaterCompletion) {
+        if !self.is_empty() && !self.switch.is_disabled(CrashSabotage::LaterCompletion) {
             self.quarantine.on_complete(fingerprint());
         }
     }
 
     /// Merges strikes received from another entry.
     pub fn merge(&mut self, strikes: &[Strike], now_ms: u64) {
-        if !self.switch.is_off(CrashSabotage::Merge) {
+        if !self.switch.is_disabled(CrashSabotage::Merge) {
             self.quarantine.merge(strikes, now_ms);
         }
     }
