--- a/crates/entry/src/relay/crashes.rs
+++ b/crates/entry/src/relay/crashes.rs
@@ -42,7 +42,7 @@
     }
 
     /// Records that an upstream completed a request.
-    pub(crate) fn note_completed(&self, request: &CallerRequest, now_ms: u64) {
+    pub(crate) fn record_completed(&self, request: &CallerRequest, now_ms: u64) {
         lock(&self.watch).on_complete(request_hash(request), || request_digest(request), now_ms);
     }
 
@@ -64,8 +64,8 @@
     }
 }
 
-/// Checks in the background whether an upstream whose response was lost has crashed, and if so counts
-/// the crash against the request.
+/// Checks in the background whether an upstream whose response was lost has crashed, and if so
+/// counts the crash against the request.
 pub(crate) fn check_for_crash(
     relay: &Arc<Relay>,
     request: &Arc<CallerRequest>,
--- a/crates/entry/src/relay/mod.rs
+++ b/crates/entry/src/relay/mod.rs
@@ -50,8 +50,8 @@
 /// Time before the kill at which a graceful shutdown stops waiting for requests in progress, in
 /// milliseconds.
 const STOP_MARGIN_MS: u64 = 400;
-/// Time before the end of a graceful shutdown at which requests that no upstream has received are refused,
-/// in milliseconds; a busy entry needs part of it to send all the refusals.
+/// Time before the end of a graceful shutdown at which requests that no upstream has received are
+/// refused, in milliseconds; a busy entry needs part of it to send all the refusals.
 const REFUSAL_MARGIN_MS: u64 = 300;
 /// Interval at which a stopping relay checks for requests in progress, in milliseconds.
 const STOP_POLL_MS: u64 = 50;
@@ -108,8 +108,8 @@
     signal.cancelled().await;
     registering.abort();
     stop(&relay, &closing).await;
-    // Until then, other entries leave work in progress here and count this entry when they share the
-    // limit on calls to cold upstreams.
+    // Until its record is removed, other entries leave their work in progress here, and count this
+    // entry when they share the limit on calls to cold upstreams.
     peers::unregister(&relay, &client).await;
     finished.cancel();
     serving.abort();
--- a/crates/entry/src/relay/model.rs
+++ b/crates/entry/src/relay/model.rs
@@ -1,5 +1,5 @@
-//! Requests of streaming routes: runs their stages, then calls a model upstream that responds with an
-//! event stream.
+//! Requests of streaming routes: runs their stages, then calls a model upstream that responds with
+//! an event stream.
 
 use std::{sync::Arc, time::Duration};
 
@@ -20,11 +20,13 @@
     stream::{self, ModelCall},
 };
 
-/// Prompt tokens that a model upstream processes per millisecond; the users' engines process 40 to 51.
+/// Prompt tokens that a model upstream processes per millisecond; the users' engines process 40 to
+/// 51.
 const PROMPT_TOKENS_PER_MS: f64 = 40.0;
 /// Time to first event at a model upstream excluding prompt processing, in milliseconds.
 const MODEL_OVERHEAD_MS: f64 = 60.0;
-/// Number of times that lost results are recomputed for one request; its deadline limits it further.
+/// Number of times that lost results are recomputed for one request; its deadline limits it
+/// further.
 const MAX_RESTARTS: u32 = 1;
 /// Size from which the computation of a result is delayed, in bytes.
 const LARGE_RESULT_BYTES: u64 = 100_000;
@@ -74,8 +76,8 @@
     }
 }
 
-/// Returns the prompt prefix that requests share, for prefix-cache affinity: all parts but the last,
-/// which belongs to this request alone.
+/// Returns the prompt prefix that requests share, for prefix-cache affinity: all parts but the
+/// last, which belongs to this request alone.
 pub(crate) fn affinity(request: &CallerRequest) -> Option<Affinity> {
     let parts = &request.head.prompt_parts;
     let shared = parts.len().checked_sub(2)?;
--- a/crates/entry/src/relay/peers.rs
+++ b/crates/entry/src/relay/peers.rs
@@ -29,8 +29,8 @@
 
 /// Minimum interval between hellos to another entry, in milliseconds.
 const HELLO_INTERVAL_MS: u64 = 300;
-/// Interval between hellos per entry of the installation, in milliseconds, so that an owner, which all
-/// other entries poll, answers at most 200 hellos a second.
+/// Interval between hellos per entry of the installation, in milliseconds, so that an owner, which
+/// all other entries poll, answers at most 200 hellos a second.
 const HELLO_INTERVAL_PER_ENTRY_MS: u64 = 5;
 
 /// An entry that responds.
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Returns the expected queueing time of a service at its owner, in milliseconds; none if this entry
-    /// is the owner or the owner has not reported the queue.
+    /// Returns the expected queueing time of a service at its owner, in milliseconds; none if this
+    /// entry is the owner or the owner has not reported the queue.
     pub(crate) fn wait_ms(&self, relay: &Relay, service: &str) -> Option<u64> {
         self.queue_at_owner(relay, service)?.map(|it| it.wait_ms)
     }
@@ -109,8 +109,8 @@
         Some(self.queue_at_owner(relay, service)?.is_some_and(|it| it.is_pressed))
     }
 
-    /// Returns the queue state that the owner of a service last reported, if any; none if this entry is
-    /// the owner.
+    /// Returns the queue state that the owner of a service last reported, if any; none if this
+    /// entry is the owner.
     fn queue_at_owner(&self, relay: &Relay, service: &str) -> Option<Option<QueueState>> {
         let Owner::Remote(peer) = self.owner(relay, service) else { return None };
         let directory = lock(&self.directory);
--- a/crates/entry/src/relay/peers/hello.rs
+++ b/crates/entry/src/relay/peers/hello.rs
@@ -26,8 +26,8 @@
 /// Delay before reconnecting, in milliseconds.
 const RECONNECT_MS: u64 = 300;
 /// Time for the platform to deliver a configuration that another entry already has before it is
-/// fetched from there, in milliseconds. The platform collects changes for 250 ms before it responds;
-/// the upper bound for a change is two seconds.
+/// fetched from there, in milliseconds. The platform collects changes for 250 ms before it
+/// responds; the upper bound for a change is two seconds.
 const PLATFORM_DELIVERY_GRACE_MS: u64 = 600;
 
 /// Decides when to fetch a configuration that another entry has and this one lacks.
@@ -42,9 +42,9 @@
 impl MissingConfiguration {
     /// Records that another entry has version `offered`; tells whether to fetch it now.
     ///
-    /// Transferring a configuration takes tens of milliseconds on a slow link, so it is fetched only if
-    /// the platform has not delivered it in time, and from one entry at a time. An entry without a
-    /// configuration fetches one at once.
+    /// Transferring a configuration takes tens of milliseconds on a slow link, so it is fetched
+    /// only if the platform has not delivered it in time, and from one entry at a time. An entry
+    /// without a configuration fetches one at once.
     fn begin_fetch(&mut self, own: Option<u64>, offered: u64, now_ms: u64) -> bool {
         let (_, since_ms) = match self.first_offer.filter(|(version, _)| own < Some(*version)) {
             Some(first_offer) => first_offer,
--- a/crates/entry/src/relay/peers/record.rs
+++ b/crates/entry/src/relay/peers/record.rs
@@ -15,8 +15,8 @@
 
 /// Delay between attempts to write this entry's record, in milliseconds.
 const REGISTER_INTERVAL_MS: u64 = 500;
-/// Timeout for removing this entry's record during a graceful shutdown, in milliseconds; less than the
-/// time left before the kill.
+/// Timeout for removing this entry's record during a graceful shutdown, in milliseconds; less than
+/// the time left before the kill.
 const UNREGISTER_LIMIT_MS: u64 = 300;
 
 /// Follows the list of entries.
--- a/crates/entry/src/relay/plain.rs
+++ b/crates/entry/src/relay/plain.rs
@@ -70,7 +70,7 @@
                 reached += 1;
                 match result {
                     TryOutcome::Answer(response) => {
-                        relay.crashes.note_completed(request, relay.now_ms());
+                        relay.crashes.record_completed(request, relay.now_ms());
                         return Ok(response);
                     }
                     TryOutcome::Failure(response) => {
--- a/crates/entry/src/relay/platform_check.rs
+++ b/crates/entry/src/relay/platform_check.rs
@@ -1,6 +1,7 @@
 //! Checks whether the platform responds, independently of the long polls.
 //!
-//! A pending long poll can't distinguish a platform without changes from one whose responses are lost.
+//! A pending long poll can't distinguish a platform without changes from one whose responses are
+//! lost.
 
 use std::{sync::Arc, time::Duration};
 
--- a/crates/entry/src/relay/pool.rs
+++ b/crates/entry/src/relay/pool.rs
@@ -1,7 +1,7 @@
 //! HTTP/1 connections to upstreams.
 //!
-//! A connection carries one request at a time and is reused only after a complete response. Dropping
-//! it closes it at once, which tells the upstream to cancel the request.
+//! A connection carries one request at a time and is reused only after a complete response.
+//! Dropping it closes it at once, which tells the upstream to cancel the request.
 
 use std::{net::SocketAddr, sync::Mutex, time::Duration};
 
@@ -109,7 +109,8 @@
         }
     }
 
-    /// Closes connections that have been idle for too long, and those of upstreams that no longer exist.
+    /// Closes connections that have been idle for too long, and those of upstreams that no longer
+    /// exist.
     pub(crate) fn expire(&self, exists: impl Fn(UpstreamKey) -> bool, now_ms: u64) {
         lock(&self.idle).retain(|key, connections| {
             connections.retain(|it| it.expires_ms > now_ms && !it.connection.sender.is_closed());
--- a/crates/entry/src/relay/release.rs
+++ b/crates/entry/src/relay/release.rs
@@ -75,8 +75,8 @@
         queue_by_holder(&self.delegated, handles);
     }
 
-    /// Delegates queued results to the owners of their services, and releases those of this entry's own
-    /// services with one call for each upstream.
+    /// Delegates queued results to the owners of their services, and releases those of this entry's
+    /// own services with one call for each upstream.
     pub(crate) fn flush(&self, relay: &Arc<Relay>) {
         let waiting = mem::take(&mut *lock(&self.waiting));
         for (holder, handles) in waiting {
@@ -136,7 +136,7 @@
     match attempt.post(RELEASE_PATH, body).await {
         Ok((_, meta, _)) => {
             attempt.finish(&meta);
-            relay.stages.note_released(&relay, &handles);
+            relay.stages.record_released(&relay, &handles);
         }
         Err(error) => {
             let upstream = &attempt.record.id;
--- a/crates/entry/src/relay/request.rs
+++ b/crates/entry/src/relay/request.rs
@@ -34,8 +34,8 @@
 
 /// Retry-After while the entry has no configuration, in milliseconds; about the time of a start.
 const NO_CONFIGURATION_RETRY_MS: u64 = 500;
-/// Retry-After for a request that crashes its upstreams, in milliseconds; half of the time for which
-/// crashes count against it.
+/// Retry-After for a request that crashes its upstreams, in milliseconds; half of the time for
+/// which crashes count against it.
 const CRASHING_RETRY_MS: u64 = 60_000;
 /// Deadline of a request that states none, in milliseconds; the route's timeout limits it further.
 const DEFAULT_DEADLINE_MS: u64 = 60_000;
@@ -101,8 +101,8 @@
         self.deadline_ms.saturating_sub(now_ms)
     }
 
-    /// Returns the time by which a response meets the route's target latency, in milliseconds since the
-    /// start of the relay.
+    /// Returns the time by which a response meets the route's target latency, in milliseconds since
+    /// the start of the relay.
     pub(crate) fn soft_deadline_ms(&self) -> u64 {
         self.arrived_ms + self.authorized.route.target_latency_ms
     }
--- a/crates/entry/src/relay/sabotage.rs
+++ b/crates/entry/src/relay/sabotage.rs
@@ -1,4 +1,5 @@
-//! Safety mechanisms that can be disabled one at a time, to show that the soak test detects the fault.
+//! Safety mechanisms that can be disabled one at a time, to show that the soak test detects the
+//! fault.
 //!
 //! Without the feature `sabotage` all mechanisms are enabled.
 
--- a/crates/entry/src/relay/server.rs
+++ b/crates/entry/src/relay/server.rs
@@ -42,8 +42,8 @@
             .timer(TokioTimer::new())
             .header_read_timeout(Duration::from_millis(limits.idle_timeout_ms))
             .max_buf_size(limits.header_bytes)
-            // Events are small: copying one into a single buffer is cheaper than a vectored write of
-            // three.
+            // Events are small: copying one into a single buffer is cheaper than a vectored write
+            // of three.
             .writev(false);
         let connection = builder.serve_connection(TokioIo::new(stream), service);
         let connection = graceful.watch(connection);
--- a/crates/entry/src/relay/stages.rs
+++ b/crates/entry/src/relay/stages.rs
@@ -37,8 +37,9 @@
 /// Minimum timeout of a call, in milliseconds; a call queued behind two others takes a second.
 const MIN_CALL_TIMEOUT_MS: u64 = 2_000;
 
-/// Time after which an upstream has read the inputs of a call, in milliseconds: the transfer of a few
-/// megabytes takes one, the latency to another data centre a few, a lost packet up to a hundred.
+/// Time after which an upstream has read the inputs of a call, in milliseconds: the transfer of a
+/// few megabytes takes one, the latency to another data centre a few, a lost packet up to a
+/// hundred.
 const INPUT_READ_MS: u64 = 120;
 /// Number of owners to try for the work of one stage before this entry takes it on itself.
 const MAX_OWNER_TRIES: usize = 3;
@@ -95,8 +96,8 @@
 
     /// Runs all pieces of a stage through the service's owner and returns their results.
     ///
-    /// If the owner is lost meanwhile, the next owner runs them again. Dropping the future cancels the
-    /// work.
+    /// If the owner is lost meanwhile, the next owner runs them again. Dropping the future cancels
+    /// the work.
     pub(crate) async fn run(
         &self,
         relay: &Arc<Relay>,
@@ -188,8 +189,8 @@
         needed_ms.is_none_or(|it| relay.now_ms() as f64 + it <= work.deadline_ms as f64)
     }
 
-    /// Returns the expected time until pieces submitted now are finished, in milliseconds; none for an
-    /// unknown service.
+    /// Returns the expected time until pieces submitted now are finished, in milliseconds; none for
+    /// an unknown service.
     pub(crate) fn estimate_ms(
         &self,
         relay: &Relay,
@@ -229,7 +230,7 @@
     }
 
     /// Records that results no longer occupy memory at their upstreams.
-    pub(crate) fn note_released(&self, relay: &Arc<Relay>, handles: &[ResultHandle]) {
+    pub(crate) fn record_released(&self, relay: &Arc<Relay>, handles: &[ResultHandle]) {
         for queue in lock(&self.queues).values_mut() {
             for handle in handles {
                 queue.batcher.release(handle);
@@ -238,8 +239,8 @@
         self.start_all_calls(relay);
     }
 
-    /// Expires work that can't meet its deadline, requeues the pieces of overdue calls and starts new
-    /// calls.
+    /// Expires work that can't meet its deadline, requeues the pieces of overdue calls and starts
+    /// new calls.
     pub(crate) fn tick(&self, relay: &Arc<Relay>) {
         let now_ms = relay.now_ms();
         for (service, queue) in lock(&self.queues).iter_mut() {
@@ -330,7 +331,8 @@
 }
 
 impl Queue {
-    /// Passes ended groups to the requests that wait for them, and releases results without a recipient.
+    /// Passes ended groups to the requests that wait for them, and releases results without a
+    /// recipient.
     fn deliver(&mut self, relay: &Relay, settled: Settled) {
         relay.releases.add(settled.unused);
         for (group, end, handles) in settled.ended {
--- a/crates/entry/src/relay/state.rs
+++ b/crates/entry/src/relay/state.rs
@@ -160,8 +160,8 @@
         self.in_progress.load(Ordering::Relaxed)
     }
 
-    /// Detects whether this process was paused since the last call, and makes the feeds relist if so;
-    /// returns the current time on the boot-time clock, in milliseconds.
+    /// Detects whether this process was paused since the last call, and makes the feeds relist if
+    /// so; returns the current time on the boot-time clock, in milliseconds.
     pub(crate) fn detect_pause(&self) -> u64 {
         let now_ms = boottime_ms();
         let pause_ms = lock(&self.freshness).tick(now_ms);
@@ -214,8 +214,8 @@
         self.is_stopping.store(true, Ordering::Relaxed);
     }
 
-    /// Makes [`Self::until_unsent_refused`] return, so that requests that no upstream has received are
-    /// refused.
+    /// Makes [`Self::until_unsent_refused`] return, so that requests that no upstream has received
+    /// are refused.
     pub(crate) fn refuse_unsent(&self) {
         self.refuse_unsent_token.cancel();
     }
@@ -235,8 +235,8 @@
         self.follows_platform.load(Ordering::Relaxed) && self.upstreams().has_platform_list()
     }
 
-    /// Tells whether the relay takes callers: it has a configuration and a list of upstreams, and is not
-    /// stopping.
+    /// Tells whether the relay takes callers: it has a configuration and a list of upstreams, and
+    /// is not stopping.
     pub(crate) fn is_ready(&self) -> bool {
         !self.is_stopping.load(Ordering::Relaxed)
             && lock(&self.table).is_some()
--- a/crates/entry/src/relay/stream.rs
+++ b/crates/entry/src/relay/stream.rs
@@ -272,7 +272,8 @@
         }
     }
 
-    /// Processes received bytes and returns those to forward; for resumable streams only whole events.
+    /// Processes received bytes and returns those to forward; for resumable streams only whole
+    /// events.
     fn accept_bytes(&mut self, bytes: &Bytes) -> Option<Bytes> {
         let passed = if self.call.request.authorized.route.is_resumable {
             let events = self.framer.push(bytes)?;
@@ -327,7 +328,7 @@
             source.attempt.finish(&source.meta);
         }
         let relay = &self.call.relay;
-        relay.crashes.note_completed(&self.call.request, relay.now_ms());
+        relay.crashes.record_completed(&self.call.request, relay.now_ms());
         self.log_end("complete");
     }
 
