--- a/crates/core/tests/control_fuzz/world.rs
+++ b/crates/core/tests/control_fuzz/world.rs
@@ -4,7 +4,7 @@
 
 use yuccatrail_core::{
     control::{
-        AuthorToken, ChangeFlow, ConfigRecord, ControlState, ControlUpdate, HistoryEntry,
+        ChangeFlow, ChangeId, ConfigRecord, ControlState, ControlUpdate, HistoryEntry,
         OperationsChange, OperationsRecord, Sabotage, Versions,
     },
     ids::Digest,
@@ -52,19 +52,22 @@
     fn process(&self) -> ControlState {
         let mut process = ControlState::new();
         sabotage!(process, self.off);
-        assert!(process.may_serve().is_err(), "a process serves before it holds control state");
+        assert!(
+            process.serving_document().is_err(),
+            "a process serves before it holds control state"
+        );
         process
     }
 
-    fn author(&mut self) -> AuthorToken {
+    fn change_id(&mut self) -> ChangeId {
         self.next_author += 1;
-        AuthorToken(self.next_author)
+        ChangeId(self.next_author)
     }
 
     pub(crate) fn promote(&mut self, text: u8, is_strict: bool) {
         let expected = is_strict.then(|| self.config.version());
         let text = Arc::from(format!("[[customer]]\nname = \"customer-{text}\"\n"));
-        let mut flow = ChangeFlow::promote(text, expected, self.author()).expect("a valid text");
+        let mut flow = ChangeFlow::promote(text, expected, self.change_id()).expect("a valid text");
         sabotage!(flow, self.off);
         self.config.begin(flow);
     }
@@ -75,7 +78,7 @@
             0 => OperationsChange::DataCentreOut(name),
             _ => OperationsChange::DataCentreIn(name),
         };
-        let mut flow = ChangeFlow::change_operations(change, self.author());
+        let mut flow = ChangeFlow::change_operations(change, self.change_id());
         sabotage!(flow, self.off);
         self.operations.begin(flow);
     }
@@ -196,7 +199,7 @@
         let versions = self.gossip(0);
         assert_eq!(versions.config, self.config.version(), "the newest state is not in force");
         for process in &self.processes {
-            assert_eq!(process.may_serve().is_ok(), versions.config > 0);
+            assert_eq!(process.serving_document().is_ok(), versions.config > 0);
         }
         self.check_records();
     }
--- a/crates/core/tests/quarantine_fuzz.rs
+++ b/crates/core/tests/quarantine_fuzz.rs
@@ -181,7 +181,7 @@
         self.stops[agent] += 1;
         let number = self.stops[agent];
         let process = &mut self.processes[ENTRIES + agent];
-        process.on_stop(agent_run(agent), number, &fingerprints, self.now_ms);
+        process.on_crash(agent_run(agent), number, &fingerprints, self.now_ms);
         if requests.len() == 1 {
             self.unlucky.extend(&requests);
         }
@@ -299,12 +299,12 @@
 #[test]
 fn missing_mechanisms_are_noticed() {
     for sabotage in [
-        Sabotage::CondemnOnlyAlone,
+        Sabotage::QuarantineOnlyAlone,
         Sabotage::RunSuspectsAlone,
-        Sabotage::RefuseUnawareSubmit,
+        Sabotage::RefuseOutdatedSubmit,
         Sabotage::MergeStrikes,
         Sabotage::ClearCompleted,
     ] {
-        fuzz_support::assert_caught(sabotage, fuzz(Some(sabotage)));
+        fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage)));
     }
 }
