--- a/crates/core/src/membership/upstream.rs
+++ b/crates/core/src/membership/upstream.rs
@@ -106,7 +106,11 @@
     }
 
     /// Replaces the record by that of a newer list.
-    pub(super) fn update_record(&mut self, record: InstanceRecord, switch: &MechanismSwitch<Sabotage>) {
+    pub(super) fn update_record(
+        &mut self,
+        record: InstanceRecord,
+        switch: &MechanismSwitch<Sabotage>,
+    ) {
         if let Some(report) = &mut self.last_report
             && switch.is_disabled(Sabotage::ReportOverList)
         {
