--- a/crates/core/src/admission/fairness.rs
+++ b/crates/core/src/admission/fairness.rs
@@ -23,7 +23,7 @@
     offered_ms: f64,
     /// Decayed run time of the requests that were admitted.
     admitted_ms: f64,
-    /// Sum of the fractions passed to [`Fairness::admit_fraction`], less one for each request that
+    /// Sum of the fractions passed to [`Fairness::should_admit`], less one for each request that
     /// it admitted.
     accumulated_fraction: f64,
 }
@@ -81,7 +81,7 @@
 
     /// Returns whether to admit the next request when this fraction of the customer's requests is
     /// admitted, evenly spaced.
-    pub(crate) fn admit_fraction(&mut self, key: CustomerKey, fraction: f64) -> bool {
+    pub(crate) fn should_admit(&mut self, key: CustomerKey, fraction: f64) -> bool {
         if fraction >= 1.0 {
             return true;
         }
--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -259,7 +259,7 @@
             return Some(Reason::DeadlineUnreachable);
         }
         let fraction = LoadShedding::for_share_usage(share_usage).admitted_fraction(wait_ratio);
-        if !self.fairness.admit_fraction(customer, fraction) {
+        if !self.fairness.should_admit(customer, fraction) {
             return Some(Reason::CustomerShare);
         }
         None
--- a/crates/core/src/deadline/estimates.rs
+++ b/crates/core/src/deadline/estimates.rs
@@ -144,6 +144,7 @@
             estimate.token_fraction += (fraction - estimate.token_fraction) * SAMPLE_WEIGHT;
         }
     }
+
     /// Moves estimates without new samples toward the declared ones; to be called once a second.
     ///
     /// Estimates that grew while a pool was slow could otherwise cause the refusal of every
--- a/crates/core/src/quarantine/registry.rs
+++ b/crates/core/src/quarantine/registry.rs
@@ -49,7 +49,7 @@
     limits: QuarantineLimits,
     strikes: FastMap<Digest, BTreeMap<CrashId, StoredStrike>>,
     /// Total number of strikes, including cleared ones.
-    held: usize,
+    strike_count: usize,
     mechanisms: Mechanisms,
 }
 
@@ -70,7 +70,12 @@
 impl Quarantine {
     /// Creates a registry without strikes.
     pub fn new(limits: QuarantineLimits) -> Self {
-        Self { limits, strikes: FastMap::default(), held: 0, mechanisms: Mechanisms::default() }
+        Self {
+            limits,
+            strikes: FastMap::default(),
+            strike_count: 0,
+            mechanisms: Mechanisms::default(),
+        }
     }
 
     /// Creates a registry with one safety mechanism disabled.
@@ -91,8 +96,8 @@
     pub fn admit(&self, fingerprint: Digest, now_ms: u64) -> Admission {
         let mut strikes = 0;
         let mut ran_alone = false;
-        let Some(held) = self.strikes.get(&fingerprint) else { return Admission::Normal };
-        for strike in held.values() {
+        let Some(stored) = self.strikes.get(&fingerprint) else { return Admission::Normal };
+        for strike in stored.values() {
             if strike.cleared || strike.expires_ms <= now_ms {
                 continue;
             }
@@ -157,8 +162,8 @@
         if !self.mechanisms.has(Sabotage::ClearCompleted) {
             return;
         }
-        let Some(held) = self.strikes.get_mut(&fingerprint) else { return };
-        for strike in held.values_mut() {
+        let Some(stored) = self.strikes.get_mut(&fingerprint) else { return };
+        for strike in stored.values_mut() {
             strike.cleared = true;
         }
     }
@@ -176,8 +181,8 @@
     /// Returns the strikes that count against a request, to be sent to the agent with its submit.
     pub fn strikes_against(&self, fingerprint: Digest, now_ms: u64) -> Vec<Strike> {
         let mut strikes = Vec::new();
-        let Some(held) = self.strikes.get(&fingerprint) else { return strikes };
-        for (&crash, strike) in held {
+        let Some(stored) = self.strikes.get(&fingerprint) else { return strikes };
+        for (&crash, strike) in stored {
             if strike.cleared || strike.expires_ms <= now_ms {
                 continue;
             }
@@ -190,8 +195,8 @@
     pub fn recent_strikes(&self, now_ms: u64) -> Vec<Strike> {
         let max_age_ms = self.limits.retention_ms / GOSSIP_RETENTION_DIVISOR;
         let mut recent = Vec::new();
-        for (&fingerprint, held) in &self.strikes {
-            for (&crash, strike) in held {
+        for (&fingerprint, stored) in &self.strikes {
+            for (&crash, strike) in stored {
                 let strike = self.to_strike(fingerprint, crash, strike, now_ms);
                 if strike.age_ms < max_age_ms {
                     recent.push(strike);
@@ -205,32 +210,32 @@
 
     /// Removes expired strikes.
     pub fn expire(&mut self, now_ms: u64) {
-        for held in self.strikes.values_mut() {
-            held.retain(|_, it| it.expires_ms > now_ms);
+        for stored in self.strikes.values_mut() {
+            stored.retain(|_, it| it.expires_ms > now_ms);
         }
-        self.strikes.retain(|_, held| !held.is_empty());
-        self.held = self.strikes.values().map(BTreeMap::len).sum();
+        self.strikes.retain(|_, stored| !stored.is_empty());
+        self.strike_count = self.strikes.values().map(BTreeMap::len).sum();
     }
 
     /// Returns the number of strikes held, including cleared ones.
     pub fn len(&self) -> usize {
-        self.held
+        self.strike_count
     }
 
     /// Returns whether no strikes are held.
     pub fn is_empty(&self) -> bool {
-        self.held == 0
+        self.strike_count == 0
     }
 
     fn to_strike(
         &self,
         fingerprint: Digest,
         crash: CrashId,
-        held: &StoredStrike,
+        stored: &StoredStrike,
         now_ms: u64,
     ) -> Strike {
         let CrashId { agent, number } = crash;
-        let &StoredStrike { alone, cleared, expires_ms } = held;
+        let &StoredStrike { alone, cleared, expires_ms } = stored;
         let remaining_ms = expires_ms.saturating_sub(now_ms);
         let age_ms = self.limits.retention_ms.saturating_sub(remaining_ms);
         Strike { fingerprint, agent, number, alone, cleared, age_ms }
@@ -243,27 +248,27 @@
         }
         let crash = CrashId { agent: strike.agent, number: strike.number };
         let expires_ms = now_ms.saturating_add(remaining_ms);
-        let held = self.strikes.entry(strike.fingerprint).or_default();
-        if let Some(known) = held.get_mut(&crash) {
+        let stored = self.strikes.entry(strike.fingerprint).or_default();
+        if let Some(known) = stored.get_mut(&crash) {
             known.alone &= strike.alone;
             known.cleared |= strike.cleared;
             known.expires_ms = known.expires_ms.min(expires_ms);
             return;
         }
         let Strike { alone, cleared, .. } = strike;
-        held.insert(crash, StoredStrike { alone, cleared, expires_ms });
-        self.held += 1;
-        if self.held > self.limits.max_strikes {
+        stored.insert(crash, StoredStrike { alone, cleared, expires_ms });
+        self.strike_count += 1;
+        if self.strike_count > self.limits.max_strikes {
             self.expire(now_ms);
             self.evict_oldest();
         }
     }
 
     fn evict_oldest(&mut self) {
-        while self.held > self.limits.max_strikes {
+        while self.strike_count > self.limits.max_strikes {
             let mut oldest: Option<(u64, Digest, CrashId)> = None;
-            for (&fingerprint, held) in &self.strikes {
-                for (&crash, strike) in held {
+            for (&fingerprint, stored) in &self.strikes {
+                for (&crash, strike) in stored {
                     let candidate = (strike.expires_ms, fingerprint, crash);
                     if oldest.is_none_or(|it| candidate < it) {
                         oldest = Some(candidate);
@@ -276,11 +281,11 @@
     }
 
     fn remove(&mut self, fingerprint: Digest, crash: CrashId) {
-        let Some(held) = self.strikes.get_mut(&fingerprint) else { return };
-        if held.remove(&crash).is_some() {
-            self.held -= 1;
+        let Some(stored) = self.strikes.get_mut(&fingerprint) else { return };
+        if stored.remove(&crash).is_some() {
+            self.strike_count -= 1;
         }
-        if held.is_empty() {
+        if stored.is_empty() {
             self.strikes.remove(&fingerprint);
         }
     }
