--- a/crates/core/src/placement/desired.rs
+++ b/crates/core/src/placement/desired.rs
@@ -1,28 +1,28 @@
-//! Desired state of a pool and the orders that lead to it.
+//! Desired state of a pool and the commands that reconcile its upstreams with it.
 
 use serde::{Deserialize, Serialize};
 
-use super::FencingNumber;
+use super::FencingToken;
 
-/// What a model engine does within its pool.
+/// Part of inference that an upstream performs within its pool.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Role {
-    /// Processes prompts and generates.
+    /// Prefill and decode.
     #[default]
     Mixed,
-    /// Processes prompts and exports their KV cache.
+    /// Prefill only: processes prompts and exports their KV cache.
     Prefill,
-    /// Imports KV caches and generates.
+    /// Decode only: imports KV caches and generates tokens.
     Decode,
 }
 
-/// Number of upstreams in each role; all others are [`Role::Mixed`].
+/// Number of upstreams in each specialised role; all others are [`Role::Mixed`].
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct RoleCounts {
-    /// Upstreams that process prompts.
+    /// Number of upstreams with [`Role::Prefill`].
     pub prefill: u32,
-    /// Upstreams that generate.
+    /// Number of upstreams with [`Role::Decode`].
     pub decode: u32,
 }
 
@@ -31,8 +31,8 @@
 pub struct DesiredPool {
     /// Name of the pool.
     pub pool: String,
-    /// Fencing number under which the state was written.
-    pub fence: FencingNumber,
+    /// Fencing token under which the state was written.
+    pub fence: FencingToken,
     /// Model that every upstream loads.
     pub model: String,
     /// Version of the model.
@@ -41,12 +41,12 @@
     pub adapters: Vec<String>,
     /// Number of upstreams in each role.
     pub roles: RoleCounts,
-    /// Upstreams that load a model at the same time at most, since weights are rate-limited and an
-    /// upstream that loads is out of service.
+    /// Maximum number of upstreams that load a model concurrently, since the loading of weights is
+    /// rate-limited and a loading upstream is out of service.
     pub max_loading: u32,
 }
 
-/// What an upstream reports about itself.
+/// State of an upstream as it reports it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ObservedUpstream {
     /// Name of the upstream.
@@ -59,26 +59,26 @@
     pub is_loading: bool,
     /// Adapters that are loaded.
     pub adapters: Vec<String>,
-    /// Role in which the upstream works.
+    /// Current role.
     pub role: Role,
 }
 
-/// An order to an upstream.
+/// Command to an upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Order {
+pub struct Command {
     /// Name of the upstream.
     pub upstream: String,
-    /// Fencing number that the order carries.
-    pub fence: FencingNumber,
-    /// What the upstream is to do.
-    pub action: OrderAction,
+    /// Fencing token of the lease under which the command was issued.
+    pub fence: FencingToken,
+    /// Change that the upstream has to make.
+    pub action: CommandAction,
 }
 
-/// What an upstream is ordered to do; doing it twice equals doing it once.
+/// Change that a command requests; every action is idempotent.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum OrderAction {
-    /// Load a model in place of the one that is loaded, which drops its adapters.
+pub enum CommandAction {
+    /// Load a model in place of the current one, which unloads all adapters.
     LoadModel {
         /// Name of the model.
         model: String,
@@ -90,33 +90,33 @@
         /// Name of the adapter.
         adapter: String,
     },
-    /// Drop an adapter.
+    /// Unload an adapter.
     UnloadAdapter {
         /// Name of the adapter.
         adapter: String,
     },
-    /// Work in another role.
+    /// Switch to another role.
     ChangeRole {
         /// The new role.
         role: Role,
     },
 }
 
-/// Computes the orders that lead the upstreams of a pool towards its desired state.
+/// Computes the commands that bring the upstreams of a pool towards its desired state.
 ///
-/// An upstream that has to load a model gets no other order until that is done.
-pub fn orders_for_pool(desired: &DesiredPool, observed: &[ObservedUpstream]) -> Vec<Order> {
+/// An upstream that has to load a model gets no other command until the model is loaded.
+pub fn plan_commands(desired: &DesiredPool, observed: &[ObservedUpstream]) -> Vec<Command> {
     let roles = assign_roles(desired.roles, observed);
     let loading = observed.iter().filter(|it| it.is_loading).count();
     let mut loads_left = (desired.max_loading as usize).saturating_sub(loading);
-    let mut orders = Vec::new();
+    let mut commands = Vec::new();
     for (upstream, role) in observed.iter().zip(roles) {
-        let mut order = |action| {
+        let mut push_command = |action| {
             let upstream = upstream.name.clone();
-            orders.push(Order { upstream, fence: desired.fence, action });
+            commands.push(Command { upstream, fence: desired.fence, action });
         };
         if !has_model(desired, upstream) {
-            // An upstream that loads the wrong model already takes one of the places.
+            // An upstream that is loading the wrong model already counts towards `max_loading`.
             if loads_left == 0 && !upstream.is_loading {
                 continue;
             }
@@ -124,23 +124,26 @@
                 loads_left -= 1;
             }
             let model = desired.model.clone();
-            order(OrderAction::LoadModel { model, version: desired.model_version.clone() });
+            push_command(CommandAction::LoadModel {
+                model,
+                version: desired.model_version.clone(),
+            });
             continue;
         }
         if upstream.is_loading {
             continue;
         }
-        for adapter in missing(&upstream.adapters, &desired.adapters) {
-            order(OrderAction::UnloadAdapter { adapter });
+        for adapter in missing_names(&upstream.adapters, &desired.adapters) {
+            push_command(CommandAction::UnloadAdapter { adapter });
         }
-        for adapter in missing(&desired.adapters, &upstream.adapters) {
-            order(OrderAction::LoadAdapter { adapter });
+        for adapter in missing_names(&desired.adapters, &upstream.adapters) {
+            push_command(CommandAction::LoadAdapter { adapter });
         }
         if role != upstream.role {
-            order(OrderAction::ChangeRole { role });
+            push_command(CommandAction::ChangeRole { role });
         }
     }
-    orders
+    commands
 }
 
 fn has_model(desired: &DesiredPool, upstream: &ObservedUpstream) -> bool {
@@ -148,12 +151,12 @@
     is_same_model && upstream.model_version.as_deref() == Some(desired.model_version.as_str())
 }
 
-/// Returns the names of `wanted` that `present` lacks.
-fn missing(wanted: &[String], present: &[String]) -> Vec<String> {
-    wanted.iter().filter(|it| !present.contains(it)).cloned().collect()
+/// Returns the names in `names` that are not in `present`.
+fn missing_names(names: &[String], present: &[String]) -> Vec<String> {
+    names.iter().filter(|it| !present.contains(it)).cloned().collect()
 }
 
-/// Chooses the role of each upstream so that as few as possible change theirs.
+/// Assigns a role to each upstream so that as few as possible change theirs.
 fn assign_roles(counts: RoleCounts, observed: &[ObservedUpstream]) -> Vec<Role> {
     let mut prefill_left = counts.prefill;
     let mut decode_left = counts.decode;
@@ -167,9 +170,9 @@
                 continue;
             }
         };
-        let keeps = *left > 0;
-        *left -= u32::from(keeps);
-        roles.push(keeps.then_some(upstream.role));
+        let keeps_role = *left > 0;
+        *left -= u32::from(keeps_role);
+        roles.push(keeps_role.then_some(upstream.role));
     }
     let mut assigned = Vec::new();
     for role in roles {
--- a/crates/core/src/placement/fence.rs
+++ b/crates/core/src/placement/fence.rs
@@ -1,99 +1,103 @@
-//! Check of fencing numbers straight before an order reaches an upstream.
+//! Check of fencing tokens immediately before a command is sent to an upstream.
 
 use derive_more::Display;
 
-use super::{FencingNumber, Sabotage};
+use super::{FencingToken, Sabotage};
 use crate::switch::Switch;
 
-/// Why an order is not passed to the upstream.
+/// Reason for which a command is not sent to the upstream.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
-pub enum FenceRefusal {
-    /// The agent has not yet learned the number in force after its start.
-    #[display("the fencing number in force is not known yet")]
-    Unconfirmed,
+pub enum FenceError {
+    /// The agent has not read the current token since its start.
+    #[display("current fencing token not known yet")]
+    TokenUnknown,
     /// A later acquisition of the lease is known.
-    #[display("the order's fencing number is older than {highest}")]
-    Old {
-        /// Highest number known.
-        highest: FencingNumber,
+    #[display("fencing token of the command is older than {highest}")]
+    StaleToken {
+        /// Highest known token.
+        highest: FencingToken,
     },
-    /// An earlier order is under way, or its answer was lost and it may still arrive.
-    #[display("an earlier order is not settled")]
-    Unsettled,
+    /// An earlier command is in flight, or its response was lost and it may still arrive.
+    #[display("an earlier command may still be in flight")]
+    CommandPending,
 }
 
-/// Guards one upstream against orders with old fencing numbers.
+/// Guards one upstream against commands with outdated fencing tokens.
 ///
-/// The guard serves upstreams that ignore the numbers as well as those that check them. It passes
-/// one order at a time, so that no order can overtake another on its way.
+/// It works for upstreams that ignore the tokens as well as for those that check them. It admits
+/// one command at a time, so that no command can overtake another in transit.
 #[derive(Clone, Debug)]
 pub struct FenceGuard {
-    highest: Option<FencingNumber>,
-    /// Time for which an order may stay on its way after its sender is gone, in milliseconds.
-    settle_ms: u64,
-    /// Time from which the next order may be sent, in milliseconds.
-    settled_from_ms: u64,
-    is_order_under_way: bool,
+    highest: Option<FencingToken>,
+    /// Time for which a command may stay in transit after its sender is gone, in milliseconds.
+    max_transit_ms: u64,
+    /// Time from which the next command may be sent, in milliseconds.
+    next_send_ms: u64,
+    is_command_in_flight: bool,
     switch: Switch<Sabotage>,
 }
 
 impl FenceGuard {
     /// Creates the guard of an agent that starts at `now_ms`.
     ///
-    /// `settle_ms` is the time for which an order of an earlier run of the agent, or one whose
-    /// answer was lost, may still arrive; zero is enough for an upstream that checks the numbers
+    /// `max_transit_ms` is the time for which a command of an earlier agent process, or one whose
+    /// response was lost, may still arrive. Zero is enough for an upstream that checks the tokens
     /// itself.
-    pub fn new(now_ms: u64, settle_ms: u64) -> Self {
+    pub fn new(now_ms: u64, max_transit_ms: u64) -> Self {
         Self {
             highest: None,
-            settle_ms,
-            settled_from_ms: now_ms + settle_ms,
-            is_order_under_way: false,
+            max_transit_ms,
+            next_send_ms: now_ms + max_transit_ms,
+            is_command_in_flight: false,
             switch: Switch::new(),
         }
     }
 
-    /// Turns one mechanism off.
+    /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
         self.switch.turn_off(mechanism);
     }
 
-    /// Notes a number that was read after the agent's start: that of the platform's lease record,
-    /// or the highest that the upstream reports to have taken.
-    pub fn learn(&mut self, fence: FencingNumber) {
+    /// Records a token that was read after the agent's start: that of the platform's lease record,
+    /// or the highest one that the upstream reports to have accepted.
+    pub fn record_token(&mut self, fence: FencingToken) {
         self.highest = self.highest.max(Some(fence));
     }
 
-    /// Highest number known.
-    pub fn highest(&self) -> Option<FencingNumber> {
+    /// Returns the highest known token.
+    pub fn highest(&self) -> Option<FencingToken> {
         self.highest
     }
 
-    /// Begins an order; on success the caller sends it and then calls [`FenceGuard::end`].
-    pub fn begin(&mut self, now_ms: u64, fence: FencingNumber) -> Result<(), FenceRefusal> {
+    /// Begins a command; on success the caller sends it and then calls [`FenceGuard::end`].
+    ///
+    /// # Errors
+    ///
+    /// Returns a [`FenceError`] if the command must not be sent now.
+    pub fn begin(&mut self, now_ms: u64, fence: FencingToken) -> Result<(), FenceError> {
         let is_known = self.highest.is_some();
-        if !is_known && !self.switch.is_off(Sabotage::FenceAfterRestart) {
-            return Err(FenceRefusal::Unconfirmed);
+        if !is_known && !self.switch.is_off(Sabotage::TokenAfterRestart) {
+            return Err(FenceError::TokenUnknown);
         }
         let highest = self.highest.unwrap_or_default();
         if fence < highest && !self.switch.is_off(Sabotage::FenceCheck) {
-            return Err(FenceRefusal::Old { highest });
+            return Err(FenceError::StaleToken { highest });
         }
-        let is_settled = !self.is_order_under_way && now_ms >= self.settled_from_ms;
-        if !is_settled && !self.switch.is_off(Sabotage::SettleOrders) {
-            return Err(FenceRefusal::Unsettled);
+        let can_send = !self.is_command_in_flight && now_ms >= self.next_send_ms;
+        if !can_send && !self.switch.is_off(Sabotage::SingleCommandInFlight) {
+            return Err(FenceError::CommandPending);
         }
-        self.learn(fence);
-        self.is_order_under_way = true;
+        self.record_token(fence);
+        self.is_command_in_flight = true;
         Ok(())
     }
 
-    /// Ends the order under way; `is_answered` tells whether the upstream answered it.
+    /// Ends the command in flight; `is_answered` tells whether the upstream responded to it.
     pub fn end(&mut self, now_ms: u64, is_answered: bool) {
-        self.is_order_under_way = false;
+        self.is_command_in_flight = false;
         if !is_answered {
-            self.settled_from_ms = self.settled_from_ms.max(now_ms + self.settle_ms);
+            self.next_send_ms = self.next_send_ms.max(now_ms + self.max_transit_ms);
         }
     }
 }
--- a/crates/core/src/placement/lease.rs
+++ b/crates/core/src/placement/lease.rs
@@ -3,7 +3,7 @@
 use derive_more::{Display, From, Into};
 use serde::{Deserialize, Serialize};
 
-/// Names one run of a process as a holder of leases; drawn at random at its start.
+/// Identifies a process as holder of leases; chosen at random at each start of the process.
 #[derive(
     Clone,
     Copy,
@@ -20,9 +20,9 @@
     Deserialize,
 )]
 #[display("{_0:032x}")]
-pub struct HolderToken(pub u128);
+pub struct HolderId(pub u128);
 
-/// Number of an acquisition of a lease; every acquisition takes a higher one.
+/// Fencing token of a lease, which increases with every acquisition.
 #[derive(
     Clone,
     Copy,
@@ -39,17 +39,18 @@
     Serialize,
     Deserialize,
 )]
-pub struct FencingNumber(pub u64);
+pub struct FencingToken(pub u64);
 
 /// Lease record as the platform stores it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Lease {
-    /// The holder.
-    pub holder: HolderToken,
-    /// Number of the acquisition.
-    pub fence: FencingNumber,
-    /// Number of the write within all writes of the holder, by which it tells them apart.
+    /// Process that holds the lease.
+    pub holder: HolderId,
+    /// Fencing token of the acquisition.
+    pub fence: FencingToken,
+    /// Sequence number of this write among all writes of the holder, which identifies it when the
+    /// record is read back.
     pub write_number: u64,
-    /// Time for which the lease holds after a write, in milliseconds.
+    /// Time for which the lease is valid after a write, in milliseconds.
     pub duration_ms: u64,
 }
--- a/crates/core/src/placement/mod.rs
+++ b/crates/core/src/placement/mod.rs
@@ -1,22 +1,22 @@
-//! Placement of models on upstreams: one writer by lease, orders guarded by fencing numbers.
+//! Placement of models on upstreams: a lease elects one writer, and fencing tokens guard commands.
 //!
-//! An entry that holds the [`Lease`] through its [`LeaseKeeper`] writes the [`DesiredPool`] of each
-//! pool. Each agent alone gives its upstream orders, and its [`FenceGuard`] refuses orders that
-//! carry an old fencing number.
+//! The entry that holds the [`Lease`] through its [`LeaseManager`] writes the [`DesiredPool`] of
+//! each pool. Only the agent of an upstream sends it commands, and the agent's [`FenceGuard`]
+//! rejects commands with an outdated fencing token.
 
 mod desired;
 mod fence;
-mod keeper;
 mod lease;
+mod lease_manager;
 mod sabotage;
 
 #[cfg(test)]
 mod tests;
 
 pub use desired::{
-    DesiredPool, ObservedUpstream, Order, OrderAction, Role, RoleCounts, orders_for_pool,
+    Command, CommandAction, DesiredPool, ObservedUpstream, Role, RoleCounts, plan_commands,
 };
-pub use fence::{FenceGuard, FenceRefusal};
-pub use keeper::{LeaseAction, LeaseEvent, LeaseKeeper, LeaseSettings};
-pub use lease::{FencingNumber, HolderToken, Lease};
+pub use fence::{FenceError, FenceGuard};
+pub use lease::{FencingToken, HolderId, Lease};
+pub use lease_manager::{LeaseAction, LeaseEvent, LeaseManager, LeaseSettings};
 pub use sabotage::Sabotage;
--- a/crates/core/src/placement/sabotage.rs
+++ b/crates/core/src/placement/sabotage.rs
@@ -1,20 +1,20 @@
-//! Mechanisms of this slice that tests may turn off.
+//! Mechanisms of this module that tests can disable.
 
-/// A mechanism that a test turns off to show that its oracle notices.
+/// Mechanism that a test disables to show that its oracle detects the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Sabotage {
-    /// Judge the end of a lease from the time of the answer instead of the question.
+    /// If disabled, the validity of a lease counts from the response to a write, not the request.
     ValidFromSent,
-    /// Act without a look at the clock.
+    /// If disabled, the holder acts without comparing the expiry with the clock.
     ExpiryCheck,
-    /// Take over a lease at once, without waiting for it to lapse.
+    /// If disabled, a lease is taken over at once, without waiting for it to expire.
     AwaitExpiry,
-    /// Keep the fencing number when another holder takes over.
-    RisingFence,
-    /// Execute orders whatever their fencing number.
+    /// If disabled, the fencing token stays the same when another holder takes over.
+    IncreasingToken,
+    /// If disabled, commands are executed whatever their fencing token.
     FenceCheck,
-    /// Execute orders after a restart without knowing the fencing number in force.
-    FenceAfterRestart,
-    /// Send an order while an earlier one may still arrive.
-    SettleOrders,
+    /// If disabled, commands are executed after a restart while the current token is unknown.
+    TokenAfterRestart,
+    /// If disabled, a command is sent while an earlier one may still arrive.
+    SingleCommandInFlight,
 }
