--- a/crates/core/src/placement/fence.rs
+++ b/crates/core/src/placement/fence.rs
@@ -3,7 +3,7 @@
 use derive_more::Display;
 
 use super::{FencingToken, Sabotage};
-use crate::switch::Switch;
+use crate::switch::MechanismSwitch;
 
 /// Reason for which a command is not sent to the upstream.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     /// Time from which the next command may be sent, in milliseconds.
     next_send_ms: u64,
     is_command_in_flight: bool,
-    switch: Switch<Sabotage>,
+    switch: MechanismSwitch<Sabotage>,
 }
 
 impl FenceGuard {
@@ -49,14 +49,14 @@
             max_transit_ms,
             next_send_ms: now_ms + max_transit_ms,
             is_command_in_flight: false,
-            switch: Switch::new(),
+            switch: MechanismSwitch::new(),
         }
     }
 
     /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.turn_off(mechanism);
+        self.switch.disable(mechanism);
     }
 
     /// Records a token that was read after the agent's start: that of the platform's lease record,
@@ -77,15 +77,15 @@
     /// Returns a [`FenceError`] if the command must not be sent now.
     pub fn begin(&mut self, now_ms: u64, fence: FencingToken) -> Result<(), FenceError> {
         let is_known = self.highest.is_some();
-        if !is_known && !self.switch.is_off(Sabotage::TokenAfterRestart) {
+        if !is_known && !self.switch.is_disabled(Sabotage::TokenAfterRestart) {
             return Err(FenceError::TokenUnknown);
         }
         let highest = self.highest.unwrap_or_default();
-        if fence < highest && !self.switch.is_off(Sabotage::FenceCheck) {
+        if fence < highest && !self.switch.is_disabled(Sabotage::FenceCheck) {
             return Err(FenceError::StaleToken { highest });
         }
         let can_send = !self.is_command_in_flight && now_ms >= self.next_send_ms;
-        if !can_send && !self.switch.is_off(Sabotage::SingleCommandInFlight) {
+        if !can_send && !self.switch.is_disabled(Sabotage::SingleCommandInFlight) {
             return Err(FenceError::CommandPending);
         }
         self.record_token(fence);
