--- a/crates/core/src/capacity/mod.rs
+++ b/crates/core/src/capacity/mod.rs
@@ -21,7 +21,8 @@
 /// Number of concurrently overdue calls that count as a latency jump.
 const OVERDUE_CALLS: usize = 3;
 
-/// Time after a failed connection in which no call starts unless a probe is answered, in milliseconds.
+/// Time after a failed connection in which no call starts unless a probe is answered, in
+/// milliseconds.
 const CONNECT_BACKOFF_MS: u64 = 500;
 
 new_key_type! {
--- a/crates/core/src/membership/tests.rs
+++ b/crates/core/src/membership/tests.rs
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn data_centre_that_is_out_gets_no_work() {
+fn upstreams_of_a_data_centre_that_is_out_get_no_work() {
     let (mut directory, key) = directory();
     let out = OperationsChange::DataCentreOut("east".to_owned());
     let operations = OperationsRecord::initial().with(&out).unwrap();
--- a/crates/core/src/route_table/configuration.rs
+++ b/crates/core/src/route_table/configuration.rs
@@ -41,7 +41,7 @@
     pub path_prefix: String,
     /// Retry semantics and response form.
     pub kind: RouteKind,
-    /// Upper bound on the time to respond, in milliseconds.
+    /// Maximum time that a caller is kept waiting, in milliseconds.
     pub timeout_ms: u64,
     /// Latency objective: a response within this time counts as on time, in milliseconds.
     #[serde(rename = "aim_ms")]
@@ -59,7 +59,8 @@
     pub allows_anonymous: bool,
     /// Whether a broken stream may resume at another upstream after its last event.
     pub is_resumable: bool,
-    /// Objective for the gap between two events of a stream, in milliseconds.
+    /// Latency objective of a stream: it counts as on time if no gap between two events is longer,
+    /// in milliseconds.
     #[serde(rename = "gap_aim_ms")]
     pub target_gap_ms: Option<u64>,
 }
--- a/crates/core/src/routing/choose.rs
+++ b/crates/core/src/routing/choose.rs
@@ -119,7 +119,7 @@
     LocalLeastLoaded,
     /// The less loaded of two random upstreams.
     LeastLoaded,
-    /// The request is quarantined as a suspect, which all entries send to the same upstream.
+    /// The request is suspected of crashing upstreams, so all entries send it to the same one.
     Suspect,
     /// Picked by [`Policy::Random`].
     Random,
--- a/crates/core/src/routing/health.rs
+++ b/crates/core/src/routing/health.rs
@@ -45,7 +45,8 @@
     state: State,
     consecutive_failures: u32,
     ejections: u32,
-    ratio: f64,
+    /// Moving average of the ratio of actual to expected duration.
+    mean_ratio: f64,
     samples: u32,
 }
 
@@ -56,7 +57,7 @@
             state: State::InService,
             consecutive_failures: 0,
             ejections: 0,
-            ratio: 1.0,
+            mean_ratio: 1.0,
             samples: 0,
         }
     }
@@ -76,7 +77,7 @@
 
     /// Returns the average ratio of actual to expected duration, or none while samples are too few.
     pub fn mean_latency_ratio(&self) -> Option<f64> {
-        (self.samples >= MIN_LATENCY_SAMPLES).then_some(self.ratio)
+        (self.samples >= MIN_LATENCY_SAMPLES).then_some(self.mean_ratio)
     }
 
     /// Records that an attempt was sent; if a probe is due, this attempt is it.
@@ -97,7 +98,7 @@
             // Samples from before the ejection don't describe the upstream after its return.
             self.state = State::InService;
             self.samples = 0;
-            self.ratio = ratio;
+            self.mean_ratio = ratio;
         }
         self.record_sample(ratio);
         false
@@ -106,7 +107,7 @@
     /// Records an attempt that was abandoned after `ratio` times its expected duration.
     pub(crate) fn on_abandoned(&mut self, now_ms: u64, ratio: f64) {
         // The full duration would have been longer, so a ratio below the average shows nothing.
-        if ratio > self.ratio {
+        if ratio > self.mean_ratio {
             self.record_sample(ratio);
         }
         self.on_not_run(now_ms);
@@ -114,7 +115,7 @@
 
     fn record_sample(&mut self, ratio: f64) {
         self.samples = self.samples.saturating_add(1);
-        self.ratio += (ratio - self.ratio) * LATENCY_WEIGHT;
+        self.mean_ratio += (ratio - self.mean_ratio) * LATENCY_WEIGHT;
     }
 
     /// Records a failed attempt; returns whether the upstream should be ejected.
--- a/crates/core/src/routing/hints.rs
+++ b/crates/core/src/routing/hints.rs
@@ -52,7 +52,7 @@
     }
 
     /// Drops all hints about an upstream, for example after its restart.
-    pub fn forget(&mut self, upstream: UpstreamKey) {
+    pub fn remove(&mut self, upstream: UpstreamKey) {
         self.upstreams.remove(&upstream);
     }
 
--- a/crates/core/src/routing/pool.rs
+++ b/crates/core/src/routing/pool.rs
@@ -60,7 +60,7 @@
         /// Ratio of actual to expected duration.
         ratio: f64,
     },
-    /// It was cancelled or timed out after `ratio` times the expected duration.
+    /// It was cancelled or given up after `ratio` times the expected duration.
     Abandoned {
         /// Ratio of elapsed time to expected duration.
         ratio: f64,
@@ -150,7 +150,7 @@
     pub fn remove(&mut self, key: UpstreamKey) {
         self.upstreams.remove(key);
         self.health.remove(key);
-        self.hints.forget(key);
+        self.hints.remove(key);
     }
 
     /// Sets whether an upstream is excluded from the choice, because it is leaving, its data centre
--- a/crates/core/tests/routing_fuzz.rs
+++ b/crates/core/tests/routing_fuzz.rs
@@ -28,7 +28,7 @@
 enum Event {
     Advance(u64),
     Reply { upstream: usize, load: LoadReport },
-    Route { prefix: Option<u64>, tried: Vec<usize>, numbers: (u64, u64, u64) },
+    Choose { prefix: Option<u64>, tried: Vec<usize>, numbers: (u64, u64, u64) },
     End { index: usize, end: AttemptEnd },
 }
 
@@ -58,7 +58,7 @@
         4 => (1..700_u64).prop_map(Event::Advance),
         4 => (0..UPSTREAMS, load()).prop_map(|(upstream, load)| Event::Reply { upstream, load }),
         12 => (prop::option::of(0..8_u64), tried, numbers)
-            .prop_map(|(prefix, tried, numbers)| Event::Route { prefix, tried, numbers }),
+            .prop_map(|(prefix, tried, numbers)| Event::Choose { prefix, tried, numbers }),
         10 => (0..16_usize, end).prop_map(|(index, end)| Event::End { index, end }),
     ]
 }
@@ -80,9 +80,10 @@
     fn apply((): (), _: &Event) {}
 }
 
-/// Reports received from one upstream and attempts sent to it.
+/// Last report received from one upstream and attempts sent to it.
 #[derive(Clone, Copy, Default)]
 struct UpstreamRecord {
+    /// Time of the last report in milliseconds, and the report.
     reported: Option<(u64, LoadReport)>,
     sent_since_reply: u32,
     in_flight: u32,
@@ -122,12 +123,13 @@
     pool: PoolView,
     keys: Vec<UpstreamKey>,
     records: [UpstreamRecord; UPSTREAMS],
+    /// Upstream of each attempt in flight.
     in_flight: Vec<usize>,
     now_ms: u64,
 }
 
 impl Sut {
-    fn route(&mut self, prefix: Option<u64>, tried: &[usize], numbers: (u64, u64, u64)) {
+    fn choose(&mut self, prefix: Option<u64>, tried: &[usize], numbers: (u64, u64, u64)) {
         let now_ms = self.now_ms;
         let tried_keys: Vec<_> = tried.iter().map(|it| self.keys[*it]).collect();
         let candidates = self.pool.candidates(now_ms, prefix, &tried_keys);
@@ -212,7 +214,7 @@
                 sut.records[upstream].sent_since_reply = 0;
                 sut.pool.on_reply(sut.now_ms, sut.keys[upstream], load);
             }
-            Event::Route { prefix, tried, numbers } => sut.route(prefix, &tried, numbers),
+            Event::Choose { prefix, tried, numbers } => sut.choose(prefix, &tried, numbers),
             Event::End { index, end } => sut.end(index, end),
         }
         sut.check_ejected_part();
