--- a/crates/core/src/document/check.rs
+++ b/crates/core/src/document/check.rs
@@ -1,26 +1,25 @@
-//! Checks of a document's values against each other.
+//! Validation of a document's values and of the references between them.
 
 use toml::de::DeTable;
 
 use super::{
     Document, Fault, FaultKind, Pipeline, Pool, PoolKind, Service, Stage,
-    locate::{Step, line_at, offset_of, path_text},
+    locate::{PathSegment, format_path, line_at, offset_of},
 };
 use crate::FastMap;
 
-/// Largest number of stages, which the stage index of an attempt can tell apart.
+/// Maximum number of stages in a pipeline; a stage index has to fit into a byte.
 const MAX_STAGES: usize = 255;
 
-/// Computes the expected time of one stage on a warm upstream, in milliseconds.
-///
-/// Returns none if the time exceeds the range of the numbers.
+/// Returns the expected run time of one stage on a warm upstream, in milliseconds, or `None` if it
+/// overflows.
 pub fn stage_estimate_ms(pool: &Pool, stage: &Stage) -> Option<u64> {
     let tokens = u64::from(stage.max_tokens.unwrap_or(0));
     let tokens_ms = tokens.checked_mul(pool.token_estimate_ms)?;
     pool.estimate_ms.checked_add(tokens_ms)
 }
 
-/// Finds everything that is wrong with the values of a document.
+/// Returns all invalid values of a document, sorted by line.
 pub(super) fn check(text: &str, table: &DeTable<'_>, document: &Document) -> Vec<Fault> {
     let mut checker = Checker { text, table, document, faults: Vec::new() };
     checker.check_limits();
@@ -32,7 +31,7 @@
     checker.faults
 }
 
-/// Collects the faults of one document.
+/// Validates one document and collects its faults.
 struct Checker<'a> {
     text: &'a str,
     table: &'a DeTable<'a>,
@@ -41,14 +40,14 @@
 }
 
 impl<'a> Checker<'a> {
-    fn report(&mut self, steps: &[Step<'_>], kind: FaultKind) {
-        let line = line_at(self.text, offset_of(self.table, steps));
-        self.faults.push(Fault { path: path_text(steps), line, kind });
+    fn report(&mut self, path: &[PathSegment<'_>], kind: FaultKind) {
+        let line = line_at(self.text, offset_of(self.table, path));
+        self.faults.push(Fault { path: format_path(path), line, kind });
     }
 
     fn check_limits(&mut self) {
         let limits = &self.document.limits;
-        let at = |key| [Step::Key("limits"), Step::Key(key)];
+        let at = |key| [PathSegment::Key("limits"), PathSegment::Key(key)];
         self.check_positive(&at("max_body_bytes"), limits.max_body_bytes as u64);
         self.check_positive(&at("request_read_timeout_ms"), limits.request_read_timeout_ms);
         self.check_positive(&at("quarantine_strikes"), limits.quarantine_strikes.into());
@@ -58,10 +57,11 @@
         let document = self.document;
         self.check_names("pool", document.pools.iter().map(|it| it.name.as_str()));
         for (index, pool) in document.pools.iter().enumerate() {
-            let at = |key| [Step::Key("pool"), Step::Index(index), Step::Key(key)];
+            let at =
+                |key| [PathSegment::Key("pool"), PathSegment::Index(index), PathSegment::Key(key)];
             self.check_positive(&at("concurrency"), pool.concurrency.into());
             self.check_positive(&at("cold_concurrency"), pool.cold_concurrency.into());
-            // A warm limit of zero is a fault of its own.
+            // A warm limit of zero is reported separately.
             if pool.concurrency > 0 && pool.cold_concurrency > pool.concurrency {
                 let concurrency = pool.concurrency;
                 self.report(&at("cold_concurrency"), FaultKind::ColdAboveWarm { concurrency });
@@ -78,7 +78,8 @@
     }
 
     fn check_pipeline(&mut self, index: usize, pipeline: &Pipeline) {
-        let at = |key| [Step::Key("pipeline"), Step::Index(index), Step::Key(key)];
+        let at =
+            |key| [PathSegment::Key("pipeline"), PathSegment::Index(index), PathSegment::Key(key)];
         self.check_positive(&at("deadline_ms"), pipeline.deadline_ms);
         let count = pipeline.stages.len();
         if count == 0 {
@@ -98,16 +99,16 @@
         self.check_deadline(&at("deadline_ms"), pipeline.deadline_ms, estimate_ms);
     }
 
-    /// Checks one stage and returns its pool, if the stage can run there.
+    /// Validates one stage and returns its pool, if the stage can run in it.
     fn check_stage(&mut self, pipeline: usize, number: usize, stage: &Stage) -> Option<&'a Pool> {
         let document = self.document;
         let at = |key| {
             [
-                Step::Key("pipeline"),
-                Step::Index(pipeline),
-                Step::Key("stage"),
-                Step::Index(number),
-                Step::Key(key),
+                PathSegment::Key("pipeline"),
+                PathSegment::Index(pipeline),
+                PathSegment::Key("stage"),
+                PathSegment::Index(number),
+                PathSegment::Key(key),
             ]
         };
         if let Some(top_k) = stage.top_k {
@@ -137,7 +138,8 @@
     }
 
     fn check_service(&mut self, index: usize, service: &Service) {
-        let at = |key| [Step::Key("service"), Step::Index(index), Step::Key(key)];
+        let at =
+            |key| [PathSegment::Key("service"), PathSegment::Index(index), PathSegment::Key(key)];
         self.check_positive(&at("deadline_ms"), service.deadline_ms);
         let Some(pool) = self.document.pool(&service.pool) else {
             self.report(&at("pool"), FaultKind::UnknownPool(service.pool.clone()));
@@ -154,11 +156,11 @@
         for (number, rule) in rules.idempotent.iter().enumerate() {
             let at = |key| {
                 [
-                    Step::Key("service"),
-                    Step::Index(service),
-                    Step::Key("idempotent"),
-                    Step::Index(number),
-                    Step::Key(key),
+                    PathSegment::Key("service"),
+                    PathSegment::Index(service),
+                    PathSegment::Key("idempotent"),
+                    PathSegment::Index(number),
+                    PathSegment::Key(key),
                 ]
             };
             let is_upper_case = rule.method.bytes().all(|it| it.is_ascii_uppercase());
@@ -175,49 +177,59 @@
         let document = self.document;
         self.check_names("customer", document.customers.iter().map(|it| it.name.as_str()));
         for (index, customer) in document.customers.iter().enumerate() {
-            let steps = [Step::Key("customer"), Step::Index(index), Step::Key("share")];
-            self.check_positive(&steps, customer.share.into());
+            let path = [
+                PathSegment::Key("customer"),
+                PathSegment::Index(index),
+                PathSegment::Key("share"),
+            ];
+            self.check_positive(&path, customer.share.into());
         }
     }
 
-    fn check_positive(&mut self, steps: &[Step<'_>], value: u64) {
+    fn check_positive(&mut self, path: &[PathSegment<'_>], value: u64) {
         if value == 0 {
-            self.report(steps, FaultKind::Zero);
+            self.report(path, FaultKind::Zero);
         }
     }
 
-    /// Compares a deadline with an estimate, which is none if it exceeds the range of the numbers.
-    fn check_deadline(&mut self, steps: &[Step<'_>], deadline_ms: u64, estimate_ms: Option<u64>) {
+    /// Checks that a deadline covers the estimated time, which is `None` if it overflowed.
+    fn check_deadline(
+        &mut self,
+        path: &[PathSegment<'_>],
+        deadline_ms: u64,
+        estimate_ms: Option<u64>,
+    ) {
         let Some(estimate_ms) = estimate_ms else {
-            self.report(steps, FaultKind::EstimateOverflow);
+            self.report(path, FaultKind::EstimateOverflow);
             return;
         };
-        // A deadline of zero is a fault of its own.
+        // A deadline of zero is reported separately.
         if deadline_ms > 0 && estimate_ms > deadline_ms {
-            self.report(steps, FaultKind::DeadlineTooShort { estimate_ms });
+            self.report(path, FaultKind::DeadlineTooShort { estimate_ms });
         }
     }
 
-    /// Checks that the names of one kind of element are well formed and differ.
+    /// Checks that the names of all elements of one kind are well formed and unique.
     fn check_names(&mut self, kind: &'static str, names: impl Iterator<Item = &'a str>) {
         let mut first_uses = FastMap::default();
         for (index, name) in names.enumerate() {
-            let steps = [Step::Key(kind), Step::Index(index), Step::Key("name")];
+            let path =
+                [PathSegment::Key(kind), PathSegment::Index(index), PathSegment::Key("name")];
             if !is_well_formed(name) {
-                self.report(&steps, FaultKind::BadName(name.to_owned()));
+                self.report(&path, FaultKind::BadName(name.to_owned()));
                 continue;
             }
             let Some(first) = first_uses.insert(name, index) else {
                 continue;
             };
             first_uses.insert(name, first);
-            let first = path_text(&[Step::Key(kind), Step::Index(first)]);
-            self.report(&steps, FaultKind::DuplicateName { name: name.to_owned(), first });
+            let first = format_path(&[PathSegment::Key(kind), PathSegment::Index(first)]);
+            self.report(&path, FaultKind::DuplicateName { name: name.to_owned(), first });
         }
     }
 }
 
-/// Tells whether a name fits into a request path and a header.
+/// Tells whether a name can be used in a request path and in a header.
 fn is_well_formed(name: &str) -> bool {
     let is_allowed = |it: u8| it.is_ascii_alphanumeric() || b"-_.".contains(&it);
     !name.is_empty() && name.bytes().all(is_allowed)
--- a/crates/core/src/document/locate.rs
+++ b/crates/core/src/document/locate.rs
@@ -1,4 +1,4 @@
-//! Lines and key paths of a TOML text.
+//! Line numbers and key paths in a TOML text.
 
 use std::{fmt::Write as _, ops::Range};
 
@@ -7,27 +7,27 @@
     de::{DeTable, DeValue},
 };
 
-/// One step from a value into a part of it.
+/// One segment of a key path.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Step<'a> {
+pub(crate) enum PathSegment<'a> {
     /// The value under a key of a table.
     Key(&'a str),
     /// An element of an array, counted from zero.
     Index(usize),
 }
 
-/// Writes a key path such as `pipeline[1].stage[0].pool`.
-pub(crate) fn path_text(steps: &[Step<'_>]) -> String {
+/// Formats a key path such as `pipeline[1].stage[0].pool`.
+pub(crate) fn format_path(path: &[PathSegment<'_>]) -> String {
     let mut text = String::new();
-    for step in steps {
-        match step {
-            Step::Key(key) if text.is_empty() => text.push_str(key),
-            Step::Key(key) => {
+    for segment in path {
+        match segment {
+            PathSegment::Key(key) if text.is_empty() => text.push_str(key),
+            PathSegment::Key(key) => {
                 text.push('.');
                 text.push_str(key);
             }
-            Step::Index(index) => {
-                // Writing to a string can't fail.
+            PathSegment::Index(index) => {
+                // Writing to a string never fails.
                 let _ = write!(text, "[{index}]");
             }
         }
@@ -38,29 +38,29 @@
     text
 }
 
-/// Returns the line of a byte offset, counted from one.
+/// Returns the line number of a byte offset, counted from one.
 ///
-/// The end of the text belongs to the last line that has content.
+/// An offset after the last line with content is attributed to that line.
 pub(crate) fn line_at(text: &str, offset: usize) -> usize {
     let before = &text.as_bytes()[..offset.min(text.trim_end().len())];
     1 + before.iter().filter(|&&it| it == b'\n').count()
 }
 
-/// Returns the offset of the deepest part of `table` that `steps` leads to.
+/// Returns the byte offset of the element at `path`, or of its innermost ancestor that exists.
 ///
-/// The offset is that of the key where there is one, and of the element or its header otherwise.
-pub(crate) fn offset_of(table: &DeTable<'_>, steps: &[Step<'_>]) -> usize {
+/// This is the offset of the key, or for an array element that of the element or its header.
+pub(crate) fn offset_of(table: &DeTable<'_>, path: &[PathSegment<'_>]) -> usize {
     let mut offset = 0;
     let mut table = Some(table);
     let mut value: Option<&DeValue<'_>> = None;
-    for step in steps {
-        let next = match step {
-            Step::Key(key) => {
+    for segment in path {
+        let next = match segment {
+            PathSegment::Key(key) => {
                 let Some((name, next)) = table.and_then(|it| it.get_key_value(*key)) else { break };
                 offset = name.span().start;
                 next
             }
-            Step::Index(index) => {
+            PathSegment::Index(index) => {
                 let array = value.and_then(DeValue::as_array);
                 let Some(next) = array.and_then(|it| it.get(*index)) else { break };
                 offset = next.span().start;
@@ -73,31 +73,31 @@
     offset
 }
 
-/// Finds the steps from `value` to the key or value that stands at `span`.
-pub(crate) fn steps_to<'a>(
+/// Finds the path from `value` to the key or value at `span`.
+pub(crate) fn path_to_span<'a>(
     value: &'a Spanned<DeValue<'_>>,
     span: &Range<usize>,
-) -> Option<Vec<Step<'a>>> {
+) -> Option<Vec<PathSegment<'a>>> {
     match value.get_ref() {
         DeValue::Table(table) => {
             for (key, inner) in table {
-                let step = Step::Key(key.get_ref());
+                let segment = PathSegment::Key(key.get_ref());
                 if key.span() == *span || inner.span() == *span {
-                    return Some(vec![step]);
+                    return Some(vec![segment]);
                 }
-                if let Some(rest) = steps_to(inner, span) {
-                    return Some(prepend(step, rest));
+                if let Some(rest) = path_to_span(inner, span) {
+                    return Some(prepend(segment, rest));
                 }
             }
         }
         DeValue::Array(array) => {
             for (index, inner) in array.iter().enumerate() {
-                let step = Step::Index(index);
-                if let Some(rest) = steps_to(inner, span) {
-                    return Some(prepend(step, rest));
+                let segment = PathSegment::Index(index);
+                if let Some(rest) = path_to_span(inner, span) {
+                    return Some(prepend(segment, rest));
                 }
                 if inner.span() == *span {
-                    return Some(vec![step]);
+                    return Some(vec![segment]);
                 }
             }
         }
@@ -106,7 +106,7 @@
     None
 }
 
-fn prepend<'a>(step: Step<'a>, mut rest: Vec<Step<'a>>) -> Vec<Step<'a>> {
-    rest.insert(0, step);
+fn prepend<'a>(segment: PathSegment<'a>, mut rest: Vec<PathSegment<'a>>) -> Vec<PathSegment<'a>> {
+    rest.insert(0, segment);
     rest
 }
--- a/crates/core/src/document/mod.rs
+++ b/crates/core/src/document/mod.rs
@@ -1,6 +1,6 @@
 //! The environment document: pipelines, pools, services and customers.
 //!
-//! [`parse`] is the only way from text to a [`Document`] that a process may serve by.
+//! [`parse`] is the only function that creates a validated [`Document`] from text.
 
 mod check;
 mod fault;
@@ -20,7 +20,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Document {
-    /// Limits that hold for every request.
+    /// Limits that apply to every request.
     #[serde(default)]
     pub limits: Limits,
     /// Pools of upstreams that run the same work.
@@ -29,7 +29,7 @@
     /// Pipelines that callers may request.
     #[serde(default, rename = "pipeline")]
     pub pipelines: Vec<Pipeline>,
-    /// Plain services that callers may request.
+    /// Plain HTTP services that callers may request.
     #[serde(default, rename = "service")]
     pub services: Vec<Service>,
     /// Customers that may send requests.
@@ -37,17 +37,17 @@
     pub customers: Vec<Customer>,
 }
 
-/// Limits that hold for every request.
+/// Limits that apply to every request.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Limits {
-    /// Largest accepted request body in bytes.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: usize,
-    /// Time in which a caller has to send its whole request, in milliseconds.
+    /// Time within which a caller must send its complete request, in milliseconds.
     pub request_read_timeout_ms: u64,
-    /// Retries allowed for each hundred completed attempts.
+    /// Number of retries allowed per hundred completed attempts.
     pub retries_per_hundred: u32,
-    /// Upstreams that a request may take down before it is refused.
+    /// Number of upstream stops attributed to a request at which it is quarantined.
     pub quarantine_strikes: u32,
 }
 
@@ -62,7 +62,7 @@
     }
 }
 
-/// Kind of work that a pool does; it selects the upstream protocol.
+/// Kind of work that a pool does; determines the upstream protocol.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum PoolKind {
@@ -70,7 +70,7 @@
     Encode,
     /// Looks up documents by embedding.
     Retrieve,
-    /// Orders documents by relevance.
+    /// Ranks documents by relevance.
     Rerank,
     /// Generates text as a stream.
     Generate,
@@ -78,13 +78,13 @@
     Service,
 }
 
-/// How the engines of a pool treat fencing numbers on orders.
+/// How the engines of a pool handle the fencing numbers sent with placement orders.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// The engine refuses an order with an old number.
+    /// The engine rejects an order with an outdated number.
     Checked,
-    /// The engine ignores the number, so the agent alone checks it.
+    /// The engine ignores the number, so only the agent checks it.
     #[default]
     Ignored,
 }
@@ -97,16 +97,16 @@
     pub name: String,
     /// Kind of work.
     pub kind: PoolKind,
-    /// Model that the upstreams load, for pools that serve one.
+    /// Model that the upstreams load, for pools that serve a model.
     #[serde(default)]
     pub model: Option<String>,
-    /// Calls that one warm upstream runs at once.
+    /// Maximum number of concurrent calls on one warm upstream.
     #[serde(default = "default_concurrency")]
     pub concurrency: u32,
-    /// Calls that one upstream in a cold start can bear at once.
+    /// Maximum number of concurrent calls on one upstream during a cold start.
     #[serde(default = "default_cold_concurrency")]
     pub cold_concurrency: u32,
-    /// Calls that may wait in front of one upstream.
+    /// Maximum number of calls queued for one upstream.
     #[serde(default = "default_queue")]
     pub queue: u32,
     /// Expected time of one call on a warm upstream, in milliseconds.
@@ -115,7 +115,7 @@
     /// Expected time of one generated token, in milliseconds.
     #[serde(default)]
     pub token_estimate_ms: u64,
-    /// How the engines treat fencing numbers.
+    /// How the engines handle fencing numbers.
     #[serde(default)]
     pub fencing: Fencing,
 }
@@ -136,13 +136,13 @@
     50
 }
 
-/// A pipeline of stages under one deadline.
+/// A pipeline of stages that share one deadline.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Pipeline {
     /// Name in the request path.
     pub name: String,
-    /// Time from arrival to the whole answer, in milliseconds.
+    /// Time from the arrival of a request to its complete response, in milliseconds.
     pub deadline_ms: u64,
     /// Stages in the order in which they run.
     #[serde(rename = "stage")]
@@ -155,15 +155,15 @@
 pub struct Stage {
     /// Pool that runs the stage.
     pub pool: String,
-    /// Documents that a retrieve or rerank stage keeps.
+    /// Number of documents that a retrieve or rerank stage returns.
     #[serde(default)]
     pub top_k: Option<u32>,
-    /// Longest text that a generate stage produces, in tokens.
+    /// Maximum length of the text that a generate stage produces, in tokens.
     #[serde(default)]
     pub max_tokens: Option<u32>,
 }
 
-/// A plain service beside the pipelines.
+/// A plain HTTP service.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Service {
@@ -171,20 +171,20 @@
     pub name: String,
     /// Pool that serves the calls.
     pub pool: String,
-    /// Time from arrival to the whole answer, in milliseconds.
+    /// Time from the arrival of a request to its complete response, in milliseconds.
     pub deadline_ms: u64,
-    /// Methods and path prefixes whose calls may be repeated; every other call may not.
+    /// Rules that select the idempotent calls; calls that match none of them must not be repeated.
     #[serde(default)]
     pub idempotent: Vec<IdempotentRule>,
 }
 
-/// Selects calls of a service that may be repeated.
+/// Selects idempotent calls of a service by method and path prefix.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct IdempotentRule {
     /// HTTP method, in upper case.
     pub method: String,
-    /// Prefix of the path below the service, which starts with a slash.
+    /// Prefix of the path below the service; starts with a slash.
     #[serde(default = "default_path")]
     pub path: String,
 }
@@ -199,7 +199,7 @@
 pub struct Customer {
     /// Name in the customer header.
     pub name: String,
-    /// Weight of the customer when upstreams are contended.
+    /// Weight of the customer in sharing a contended upstream.
     #[serde(default = "default_share")]
     pub share: u32,
 }
@@ -231,7 +231,7 @@
 }
 
 impl Service {
-    /// Tells whether a call with `method` to `path` may be repeated.
+    /// Tells whether a call with `method` to `path` is idempotent and so may be repeated.
     pub fn is_idempotent(&self, method: &str, path: &str) -> bool {
         self.idempotent.iter().any(|it| it.method == method && path.starts_with(&it.path))
     }
--- a/crates/core/src/document/parse.rs
+++ b/crates/core/src/document/parse.rs
@@ -1,4 +1,4 @@
-//! Way from text to a checked document.
+//! Parsing of a text into a validated document.
 
 use std::ops::Range;
 
@@ -11,16 +11,17 @@
 use super::{
     Customer, Document, Fault, FaultKind, Pipeline, Pool, Service,
     check::check,
-    locate::{Step, line_at, path_text, steps_to},
+    locate::{PathSegment, format_path, line_at, path_to_span},
 };
 
-/// Largest document text in bytes, so that a stored object stays below the platform's megabyte.
+/// Maximum size of a document text in bytes; keeps a stored object below the platform's limit of
+/// one megabyte.
 pub const MAX_TEXT_BYTES: usize = 768 * 1024;
 
-/// Parses and checks an environment document.
+/// Parses and validates an environment document.
 ///
-/// The faults come in stages: all syntax errors, or else one unknown key or wrong type for each
-/// element of the document, or else everything that is wrong with the values.
+/// Faults are reported by phase: all syntax errors; if there are none, the first unknown key or
+/// wrong type of each element; if there are none, all invalid values.
 pub fn parse(text: &str) -> Result<Document, Vec<Fault>> {
     if text.len() > MAX_TEXT_BYTES {
         return Err(vec![too_long(text)]);
@@ -46,7 +47,7 @@
 
 fn too_long(text: &str) -> Fault {
     let kind = FaultKind::TooLong { length_bytes: text.len(), limit_bytes: MAX_TEXT_BYTES };
-    Fault { path: path_text(&[]), line: 1, kind }
+    Fault { path: format_path(&[]), line: 1, kind }
 }
 
 fn syntax_faults(text: &str, errors: &[Error]) -> Vec<Fault> {
@@ -54,13 +55,13 @@
     for error in errors {
         let line = line_at(text, start_of(error.span()));
         let kind = FaultKind::Syntax(one_line(error.message()));
-        faults.push(Fault { path: path_text(&[]), line, kind });
+        faults.push(Fault { path: format_path(&[]), line, kind });
     }
     faults.sort_by_key(|it| it.line);
     faults
 }
 
-/// Checks the keys and types of each element on its own, so that one fault doesn't hide the others.
+/// Checks the keys and types of each element separately, so that one fault doesn't hide the others.
 fn shape_faults(text: &str, table: &DeTable<'_>) -> Vec<Fault> {
     let mut faults = Vec::new();
     for (key, value) in table {
@@ -78,7 +79,7 @@
     faults
 }
 
-/// Checks one entry of the top level as a document that has no other.
+/// Checks one top-level entry by deserializing a document that contains only this entry.
 fn check_entry<'a>(
     text: &str,
     key: &Spanned<DeString<'a>>,
@@ -89,7 +90,7 @@
     table.insert(key.clone(), value.clone());
     let deserializer = Deserializer::from(Spanned::new(key.span(), table));
     if let Err(error) = Document::deserialize(deserializer) {
-        faults.push(shape_fault(text, &[Step::Key(key.get_ref())], value, &error));
+        faults.push(shape_fault(text, &[PathSegment::Key(key.get_ref())], value, &error));
     }
 }
 
@@ -104,35 +105,40 @@
         return;
     };
     for (index, element) in array.iter().enumerate() {
-        check_shape::<T>(text, &[Step::Key(key), Step::Index(index)], element, faults);
+        check_shape::<T>(
+            text,
+            &[PathSegment::Key(key), PathSegment::Index(index)],
+            element,
+            faults,
+        );
     }
 }
 
 fn check_shape<'a, T: Deserialize<'a>>(
     text: &str,
-    steps: &[Step<'_>],
+    path: &[PathSegment<'_>],
     value: &Spanned<DeValue<'a>>,
     faults: &mut Vec<Fault>,
 ) {
     if let Err(error) = T::deserialize(ValueDeserializer::from(value.clone())) {
-        faults.push(shape_fault(text, steps, value, &error));
+        faults.push(shape_fault(text, path, value, &error));
     }
 }
 
-/// Turns an error below `steps` into a fault that names the innermost key.
+/// Converts a deserialization error below `path` into a fault at the innermost key.
 fn shape_fault(
     text: &str,
-    steps: &[Step<'_>],
+    path: &[PathSegment<'_>],
     value: &Spanned<DeValue<'_>>,
     error: &Error,
 ) -> Fault {
     let span = error.span();
-    let mut path = steps.to_vec();
+    let mut full_path = path.to_vec();
     if let Some(span) = &span {
-        path.extend(steps_to(value, span).unwrap_or_default());
+        full_path.extend(path_to_span(value, span).unwrap_or_default());
     }
     let kind = FaultKind::Shape(one_line(error.message()));
-    Fault { path: path_text(&path), line: line_at(text, start_of(span)), kind }
+    Fault { path: format_path(&full_path), line: line_at(text, start_of(span)), kind }
 }
 
 fn start_of(span: Option<Range<usize>>) -> usize {
--- a/crates/core/src/document/tests.rs
+++ b/crates/core/src/document/tests.rs
@@ -1,16 +1,16 @@
-//! Tests of the parser of environment documents.
+//! Tests of the parsing and validation of environment documents.
 
 use insta::assert_snapshot;
 
 use super::*;
 
 fn faults(text: &str) -> String {
-    let faults = parse(text).expect_err("the document has faults");
+    let faults = parse(text).expect_err("the document has to have faults");
     faults.iter().map(Fault::to_string).collect::<Vec<_>>().join("\n")
 }
 
 #[test]
-fn accepts_a_whole_document() {
+fn document_with_all_kinds_of_elements_is_valid() {
     let text = r#"
 [limits]
 quarantine_strikes = 3
@@ -55,12 +55,12 @@
 }
 
 #[test]
-fn accepts_an_empty_document() {
+fn empty_document_is_valid() {
     assert_eq!(parse("").unwrap(), Document::default());
 }
 
 #[test]
-fn names_the_line_of_syntax_errors() {
+fn syntax_errors_are_reported_with_their_lines() {
     assert_snapshot!(faults("[limits]\nmax_body_bytes = \n[[pool]\n"), @"
     line 2: document: not valid TOML: string values must be quoted, expected literal string
     line 3: document: not valid TOML: unclosed array table, expected `]`
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn names_unknown_keys_and_wrong_types_of_all_elements() {
+fn unknown_keys_and_wrong_types_are_reported_for_every_element() {
     let text = r#"
 colour = "red"
 
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn names_all_faults_of_values() {
+fn all_invalid_values_are_reported() {
     let text = r#"
 [limits]
 quarantine_strikes = 0
@@ -183,7 +183,7 @@
 }
 
 #[test]
-fn refuses_estimates_beyond_the_range_of_the_numbers() {
+fn overflowing_estimate_is_reported() {
     let text = r#"
 [[pool]]
 name = "models"
@@ -202,7 +202,7 @@
 }
 
 #[test]
-fn refuses_more_stages_than_can_be_numbered() {
+fn pipeline_with_256_stages_is_rejected() {
     let stages = "[[pipeline.stage]]\npool = \"encoders\"\n".repeat(256);
     let text = format!(
         "[[pool]]\nname = \"encoders\"\nkind = \"encode\"\nestimate_ms = 0\n\
@@ -212,7 +212,7 @@
 }
 
 #[test]
-fn refuses_a_text_that_the_platform_can_not_store() {
+fn text_above_the_size_limit_is_rejected() {
     let text = "#".repeat(MAX_TEXT_BYTES + 1);
     assert_snapshot!(faults(&text), @"line 1: document: the text has 786433 bytes, more than the limit of 786432");
 }
--- a/crates/core/tests/document_fuzz.rs
+++ b/crates/core/tests/document_fuzz.rs
@@ -1,14 +1,14 @@
 //! Fuzzes the parser of environment documents.
 //!
-//! The oracle writes the text itself and so knows the path and line of every fault that it puts in.
+//! The oracle generates the text itself and so knows the path and line of every fault in it.
 
 mod harness;
 
 use proptest::{collection::vec, prelude::*, sample::select, test_runner::TestRunner};
 use yuccatrail_core::{FastMap, document};
 
-/// Elements that every text begins with, so that others can refer to them.
-const BASE: &str = "\
+/// Pools at the start of every text, which the other elements refer to.
+const BASE_POOLS: &str = "\
 [[pool]]
 name = 'engine'
 kind = 'generate'
@@ -20,8 +20,8 @@
 estimate_ms = 10
 ";
 
-/// An element of the text; faulty lines end with a mark that names the key of the fault.
-const MARK: &str = " #! ";
+/// Marker at the end of a faulty line, followed by the path of the faulty key within its element.
+const FAULT_MARKER: &str = " #! ";
 
 const VALID: &[&str] = &[
     "[[pool]]\nname = 'NAME'\nkind = 'encode'\nconcurrency = 4\ncold_concurrency = 4\n",
@@ -65,13 +65,13 @@
     "[[customer]]\nname = ['NAME'] #! name\n",
 ];
 
-/// Path and line of a fault.
-type Place = (String, usize);
+/// Path and line number of a fault.
+type Location = (String, usize);
 
-/// Writes the elements and collects the places of their faults.
-fn write(elements: &[&str]) -> (String, Vec<Place>) {
-    let mut text = BASE.to_owned();
-    let mut places = vec![];
+/// Returns the text of the elements and the expected locations of their faults.
+fn generate_text(elements: &[&str]) -> (String, Vec<Location>) {
+    let mut text = BASE_POOLS.to_owned();
+    let mut locations = vec![];
     let mut counts = FastMap::from_iter([("pool", 2)]);
     let mut line = text.lines().count();
     for (number, element) in elements.iter().enumerate() {
@@ -79,25 +79,25 @@
         let index = counts.entry(kind).or_insert(0);
         for content in element.lines() {
             line += 1;
-            if let Some((_, key)) = content.split_once(MARK) {
-                places.push((format!("{kind}[{index}].{key}"), line));
+            if let Some((_, key)) = content.split_once(FAULT_MARKER) {
+                locations.push((format!("{kind}[{index}].{key}"), line));
             }
         }
         *index += 1;
         text.push_str(&element.replace("NAME", &format!("name-{number}")));
     }
-    (text, places)
+    (text, locations)
 }
 
-fn parsed_places(text: &str) -> Vec<Place> {
-    let mut places = vec![];
+fn reported_locations(text: &str) -> Vec<Location> {
+    let mut locations = vec![];
     for fault in document::parse(text).err().unwrap_or_default() {
-        places.push((fault.path, fault.line));
+        locations.push((fault.path, fault.line));
     }
-    places
+    locations
 }
 
-fn run<S: Strategy>(seed: u64, strategy: S, check: impl Fn(S::Value)) {
+fn check_generated<S: Strategy>(seed: u64, strategy: S, check: impl Fn(S::Value)) {
     let outcome = TestRunner::new(harness::config(seed, 400)).run(&strategy, |value| {
         check(value);
         Ok(())
@@ -106,37 +106,37 @@
 }
 
 #[test]
-fn every_fault_of_a_value_is_named_with_path_and_line() {
+fn every_invalid_value_is_reported_with_path_and_line() {
     let elements: Vec<&str> = [VALID, FAULTY_VALUES].concat();
-    run(1, vec(select(elements), 0..20), |elements| {
-        let (text, places) = write(&elements);
-        assert_eq!(parsed_places(&text), places, "in:\n{text}");
+    check_generated(1, vec(select(elements), 0..20), |elements| {
+        let (text, locations) = generate_text(&elements);
+        assert_eq!(reported_locations(&text), locations, "in:\n{text}");
     });
 }
 
 #[test]
-fn every_element_of_wrong_shape_is_named_with_path_and_line() {
+fn every_unknown_key_or_wrong_type_is_reported_with_path_and_line() {
     let elements: Vec<&str> = [VALID, FAULTY_SHAPES].concat();
-    run(2, vec(select(elements), 0..20), |elements| {
-        let (text, places) = write(&elements);
-        assert_eq!(parsed_places(&text), places, "in:\n{text}");
+    check_generated(2, vec(select(elements), 0..20), |elements| {
+        let (text, locations) = generate_text(&elements);
+        assert_eq!(reported_locations(&text), locations, "in:\n{text}");
     });
 }
 
 #[test]
-fn faults_of_any_text_lie_within_it() {
+fn fault_lines_of_arbitrary_text_are_within_the_text() {
     let elements: Vec<&str> = [VALID, FAULTY_VALUES, FAULTY_SHAPES].concat();
-    let cuts = vec((any::<prop::sample::Index>(), "\\PC{0,3}"), 1..6);
-    run(3, (vec(select(elements), 0..6), cuts), |(elements, cuts)| {
-        let (mut text, _) = write(&elements);
-        for (index, insertion) in cuts {
+    let insertions = vec((any::<prop::sample::Index>(), "\\PC{0,3}"), 1..6);
+    check_generated(3, (vec(select(elements), 0..6), insertions), |(elements, insertions)| {
+        let (mut text, _) = generate_text(&elements);
+        for (index, insertion) in insertions {
             let mut at = index.index(text.len());
             while !text.is_char_boundary(at) {
                 at -= 1;
             }
             text.insert_str(at, &insertion);
         }
-        for (_, line) in parsed_places(&text) {
+        for (_, line) in reported_locations(&text) {
             assert!((1..=text.lines().count().max(1)).contains(&line), "line {line} of:\n{text}");
         }
     });
