--- a/crates/core/examples/embed.rs
+++ b/crates/core/examples/embed.rs
@@ -1,4 +1,4 @@
-//! Embeds the agent's decisions in a program of one's own: no I/O, explicit time.
+//! Embeds the agent's state machine in another program, which does the I/O and passes the time.
 
 use yuccatrail_core::{
     agent::{AgentCore, AgentSettings, CallResult, ProbeResult, Submission},
@@ -24,24 +24,24 @@
     let mut core = new_agent(agent);
     core.set_control(&control_state(), 0);
 
-    // A probe shows the upstream warm, so more than the cold limit may start.
+    // A probe reports the upstream as warm, so that more calls than the cold limit may start.
     let ticket = core.begin_probe(1);
     let answered = ProbeResult::Answered { boot_id: Some(1), warm: Some(true) };
     core.on_probe(ticket, answered, 1);
 
-    let order = order(agent);
-    core.submit(&order, 2);
+    let submission = submission(agent);
+    core.submit(&submission, 2);
     let Some(dispatch) = core.next(2) else {
-        println!("nothing may start now");
+        println!("no attempt may start now");
         return;
     };
-    println!("pass {} to the upstream", dispatch.attempt);
+    println!("sending {} to the upstream", dispatch.attempt);
 
-    // The program makes the call itself and reports how it ended.
+    // The program makes the call itself and reports its result.
     core.push_chunk(dispatch.key, "hello".into());
     let result = CallResult::Completed { status: 200, content_type: None };
     core.on_end(dispatch.key, &result, 30);
-    if let AttemptLookup::Accepted(page) = core.read(order.attempt, 0, 1024) {
+    if let AttemptLookup::Accepted(page) = core.read(submission.attempt, 0, 1024) {
         println!("{} chunks, {:?}", page.chunks.len(), page.progress);
     }
 }
@@ -65,7 +65,7 @@
     state
 }
 
-fn order(agent: Incarnation) -> Submission {
+fn submission(agent: Incarnation) -> Submission {
     Submission {
         attempt: AttemptId {
             request: RequestId(7),
--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -3,7 +3,7 @@
 use derive_more::{Display, From, Into};
 use serde::{Deserialize, Serialize};
 
-/// Names one caller request for its whole life.
+/// Identifies one caller request, across all its stages and attempts.
 #[derive(
     Clone,
     Copy,
@@ -22,7 +22,7 @@
 #[display("{_0:032x}")]
 pub struct RequestId(pub u128);
 
-/// Names one run of a process; a restarted process draws a new value at random.
+/// Identifies one run of a process; every start uses a new random value.
 #[derive(
     Clone,
     Copy,
@@ -41,7 +41,7 @@
 #[display("{_0:016x}")]
 pub struct Incarnation(pub u64);
 
-/// Position of a stage in its pipeline, counted from zero.
+/// Index of a stage in its pipeline, counted from zero.
 #[derive(
     Clone,
     Copy,
@@ -59,21 +59,21 @@
 )]
 pub struct StageIndex(pub u8);
 
-/// Names one attempt to run one stage of one request.
+/// Identifies one attempt to run one stage of one request.
 ///
-/// A result is delivered only to the attempt whose identifier it carries in full.
+/// A result belongs to an attempt only if all parts of the identifier match.
 #[derive(
     Clone, Copy, Debug, Display, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 #[display("{request}/{stage}/{number}@{entry}")]
 pub struct AttemptId {
-    /// The caller request that the attempt belongs to.
+    /// Caller request that the attempt belongs to.
     pub request: RequestId,
-    /// The stage that the attempt runs.
+    /// Stage that the attempt runs.
     pub stage: StageIndex,
     /// Number of the attempt within its stage, counted from zero.
     pub number: u16,
-    /// The entry process that started the attempt.
+    /// Run of the entry process that started the attempt.
     pub entry: Incarnation,
 }
 
--- a/crates/core/src/lib.rs
+++ b/crates/core/src/lib.rs
@@ -1,8 +1,9 @@
-//! Decisions of the yuccatrail serving system: pure state machines with explicit time.
+//! Decision logic of the yuccatrail serving system: pure state machines with explicit time.
 //!
-//! Nothing in this crate performs I/O, reads a clock or draws random numbers. Each slice takes the
-//! current time in milliseconds together with an event and returns plain values that tell the caller
-//! what to do, so the same code runs in the daemons, under fuzzing and inside other programs.
+//! Nothing in this crate performs I/O, reads a clock or draws random numbers. Each module takes an
+//! event together with the current time in milliseconds and returns plain values that tell the
+//! caller what to do, so the same code runs in the daemons, in fuzz tests and embedded in other
+//! programs.
 
 pub mod accounting;
 pub mod admission;
--- a/crates/core/src/sabotage.rs
+++ b/crates/core/src/sabotage.rs
@@ -1,63 +1,64 @@
-//! Safety mechanisms that tests can switch off one at a time.
+//! Safety mechanisms that tests can disable one at a time.
 //!
-//! The feature `sabotage` adds `with_sabotage` constructors. They exist to show that each oracle
-//! notices when the mechanism that it guards is missing. Without the feature every mechanism is on.
+//! The feature `sabotage` adds `with_sabotage` constructors. Tests use them to show that each
+//! oracle detects when the mechanism that it checks is missing. Without the feature every mechanism
+//! is enabled.
 
 #[cfg(all(feature = "sabotage", not(debug_assertions)))]
 compile_error!("the feature `sabotage` is for tests and must not be in a release build");
 
-/// A safety mechanism that can be switched off.
+/// A safety mechanism that can be disabled; each variant states the behaviour without it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Sabotage {
-    /// Pages are accepted without comparing attempt and agent run.
+    /// Output pages are accepted without comparing the attempt and the agent's incarnation.
     ResultMatching,
-    /// Chunks are released as they arrive, whatever their sequence number.
+    /// Chunks are released in the order of arrival instead of that of their sequence numbers.
     ChunkOrder,
-    /// An answer counts as whole once its completion is seen.
+    /// A response counts as complete once its completion is received, even if chunks are missing.
     AnswerCompleteness,
     /// A cancel leaves no tombstone.
     Tombstone,
     /// Tombstones are evicted before the dispatch limit of their attempt.
     TombstoneRetention,
-    /// A repeated submit starts a new record.
+    /// A repeated submit creates a new record instead of joining the existing one.
     DeduplicateSubmits,
-    /// The dispatch limit is not checked again before dispatch.
+    /// The dispatch limit of an attempt is not checked again before dispatch.
     DispatchLimit,
     /// An evicted attempt is reported as not run.
     UnknownAfterEviction,
-    /// Every completed attempt, also a retry, earns retry credit.
+    /// Every completed attempt adds to the retry budget, retries included.
     CreditOncePerStage,
-    /// A lost answer to a claim write counts as a success.
+    /// A claim write whose answer was lost counts as successful.
     ReadBack,
-    /// A claim found on read-back counts as one's own, whatever its token.
+    /// A claim found on read-back counts as the caller's own, without comparing the token.
     TokenComparison,
-    /// A conflict on a claim update counts as a success.
+    /// A claim update that failed with a conflict counts as successful.
     ConditionalUpdate,
     /// A claim whose attempt was lost is released as if it had not run.
     ReleaseOnlyConfirmed,
-    /// A foreign claim in progress is reported as not run.
+    /// A claim in progress that another call holds is reported as not run.
     ForeignClaimUnknown,
-    /// A request that is given up before its claim is settled is reported as not run.
+    /// A request that is abandoned while the state of its claim is unknown is reported as not run.
     UnsettledClaimUnknown,
-    /// A claim whose lost write is unsettled is left as it is after the refusal.
+    /// A claim is not released after the refusal if the answer to its write was lost.
     ReleaseUnsettled,
-    /// A report about an earlier dispatch counts for the present one.
+    /// A report about an earlier dispatch is applied to the current one.
     DispatchNumber,
     /// The expiry of the dispatch permission is ignored.
     DispatchPermission,
-    /// A stop condemns every request in progress after enough strikes, whether it ran alone or not.
+    /// Enough strikes quarantine a request even if it never ran alone when an upstream stopped.
     QuarantineOnlyAlone,
-    /// A suspect is admitted like any other request.
+    /// A request with strikes is admitted like any other instead of running alone.
     RunSuspectsAlone,
-    /// An agent accepts a suspect whose entry did not know the strikes.
+    /// An agent accepts a request with strikes from an entry that did not know of them.
     RefuseOutdatedSubmit,
-    /// Strikes from peers are ignored.
+    /// Strikes received from peers are ignored.
     MergeStrikes,
-    /// A completed suspect keeps its strikes.
+    /// A request keeps its strikes after it has completed.
     ClearCompleted,
 }
 
-/// The set of mechanisms that are in force.
+/// The set of enabled mechanisms: all of them, or all but one in tests.
 #[derive(Clone, Copy, Debug, Default)]
 pub(crate) struct Mechanisms {
     #[cfg(feature = "sabotage")]
@@ -65,19 +66,19 @@
 }
 
 impl Mechanisms {
-    /// Switches one mechanism off.
+    /// Returns the set with `mechanism` disabled.
     #[cfg(feature = "sabotage")]
     pub(crate) fn without(mechanism: Sabotage) -> Self {
         Self { disabled: Some(mechanism) }
     }
 
-    /// Tells whether a mechanism is in force.
+    /// Tells whether a mechanism is enabled.
     #[cfg(feature = "sabotage")]
     pub(crate) fn has(self, mechanism: Sabotage) -> bool {
         self.disabled != Some(mechanism)
     }
 
-    /// Tells whether a mechanism is in force.
+    /// Tells whether a mechanism is enabled; always true without the feature.
     #[cfg(not(feature = "sabotage"))]
     pub(crate) fn has(self, _mechanism: Sabotage) -> bool {
         true
--- a/crates/core/src/switch.rs
+++ b/crates/core/src/switch.rs
@@ -1,6 +1,6 @@
-//! MechanismSwitch by which tests turn off one mechanism of a slice.
+//! Switch with which tests disable one safety mechanism of a module.
 
-/// Remembers which mechanism is off; always none unless the `sabotage` feature is on.
+/// Stores which mechanism of type `T` is disabled; without the feature `sabotage`, none ever is.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MechanismSwitch<T> {
     #[cfg(feature = "sabotage")]
@@ -10,7 +10,7 @@
 }
 
 impl<T: Copy + PartialEq> MechanismSwitch<T> {
-    /// Creates a switch with every mechanism on.
+    /// Creates a switch with every mechanism enabled.
     pub(crate) fn new() -> Self {
         Self {
             #[cfg(feature = "sabotage")]
@@ -20,19 +20,19 @@
         }
     }
 
-    /// Turns `mechanism` off.
+    /// Disables `mechanism`; only one can be disabled at a time.
     #[cfg(feature = "sabotage")]
     pub(crate) fn disable(&mut self, mechanism: T) {
         self.off = Some(mechanism);
     }
 
-    /// Tells whether `mechanism` is off.
+    /// Tells whether `mechanism` is disabled.
     #[cfg(feature = "sabotage")]
     pub(crate) fn is_disabled(&self, mechanism: T) -> bool {
         self.off == Some(mechanism)
     }
 
-    /// Tells whether `mechanism` is off.
+    /// Tells whether `mechanism` is disabled; always false without the feature.
     #[cfg(not(feature = "sabotage"))]
     pub(crate) fn is_disabled(&self, _mechanism: T) -> bool {
         false
--- a/crates/core/tests/fuzz_support/mod.rs
+++ b/crates/core/tests/fuzz_support/mod.rs
@@ -1,6 +1,6 @@
-//! Runs fuzz of state machines with a fixed seed, so that CI always sees the same cases.
+//! Fuzzes state machines with a fixed seed, so that CI always runs the same cases.
 //!
-//! The environment variable `PROPTEST_CASES` sets another number of cases, for longer runs.
+//! The environment variable `PROPTEST_CASES` sets another number of cases for longer runs.
 
 use std::{env, sync::atomic::Ordering};
 
@@ -10,7 +10,8 @@
 /// Seed of the random number generator.
 const SEED: u64 = 20_261_203;
 
-/// Constructs a state machine, under the feature `sabotage` with a mechanism switched off.
+/// Constructs a state machine, with the given safety mechanism disabled under the feature
+/// `sabotage`.
 macro_rules! construct {
     ($sabotage:expr, $type:ident($($argument:expr),*)) => {
         match $sabotage {
@@ -23,7 +24,7 @@
 
 pub(crate) use construct;
 
-/// Checks generated sequences of up to `max_steps` steps; returns the first broken promise.
+/// Checks random sequences of fewer than `max_steps` steps; returns the first violated invariant.
 pub(crate) fn run<M: ReferenceStateMachine>(
     cases: u32,
     max_steps: usize,
@@ -37,22 +38,22 @@
         ..Config::default()
     });
     let strategy = M::sequential_strategy(1..max_steps);
-    let result = runner.run(&strategy, |(_, steps, seen)| {
-        // Shrinking may drop every step that was not seen.
-        if let Some(seen) = seen {
-            seen.store(steps.len(), Ordering::SeqCst);
+    let result = runner.run(&strategy, |(_, steps, seen_counter)| {
+        // Shrinking may remove every step that is not counted as seen, so all are counted.
+        if let Some(seen_counter) = seen_counter {
+            seen_counter.store(steps.len(), Ordering::SeqCst);
         }
         check(&steps).map_err(TestCaseError::fail)
     });
     result.map_err(|it| it.to_string())
 }
 
-/// Asserts that the fuzz notices when a mechanism is missing.
+/// Asserts that a fuzz test has found a violation while a mechanism was disabled.
 #[cfg(feature = "sabotage")]
 pub(crate) fn assert_detected(
     sabotage: yuccatrail_core::sabotage::Sabotage,
     result: Result<(), String>,
 ) {
-    let Err(failure) = result else { panic!("nothing noticed that {sabotage:?} is off") };
-    println!("{sabotage:?} off: {failure}");
+    let Err(failure) = result else { panic!("no violation found with {sabotage:?} disabled") };
+    println!("{sabotage:?} disabled: {failure}");
 }
--- a/crates/core/tests/harness/mod.rs
+++ b/crates/core/tests/harness/mod.rs
@@ -1,4 +1,4 @@
-//! Runs state machine tests from fixed seeds.
+//! Runs state machine tests with fixed seeds.
 
 #![allow(dead_code, unused_imports, unused_macros, reason = "each test uses a part of it")]
 
@@ -10,19 +10,20 @@
 };
 use proptest_state_machine::{ReferenceStateMachine, StateMachineTest};
 
-/// Turns a mechanism off, if one is named and the feature is on.
+/// Disables a safety mechanism of `$part`, if one is given and the feature `sabotage` is enabled.
 macro_rules! sabotage {
-    ($part:expr, $off:expr) => {
-        if let Some(off) = $off {
+    ($part:expr, $disabled:expr) => {
+        if let Some(disabled) = $disabled {
             #[cfg(feature = "sabotage")]
-            $part.sabotage(off);
+            $part.sabotage(disabled);
             #[cfg(not(feature = "sabotage"))]
-            let _ = (&mut $part, off);
+            let _ = (&mut $part, disabled);
         }
     };
 }
 
-/// Declares the steps of a case, each with its weight and the strategies of its fields.
+/// Declares the enum `Step` and the strategy `step` that generates it: each variant with its weight
+/// and the strategies of its fields.
 macro_rules! steps {
     ($($weight:literal $name:ident { $($field:ident: $type:ty = $strategy:expr),* })*) => {
         #[derive(Clone, Debug)]
@@ -42,29 +43,29 @@
 }
 pub(crate) use {sabotage, steps};
 
-/// A world that steps change and whose promises can be checked at any time.
+/// A simulated system that random steps change and whose invariants can be checked after each step.
 pub(crate) trait Simulation: Sized + 'static {
-    /// A mechanism that can be off.
+    /// A safety mechanism that can be disabled.
     type Mechanism: Copy + Debug + 'static;
-    /// A step that changes the world.
+    /// A step that changes the simulated system.
     type Step: Clone + Debug + 'static;
 
-    fn new(off: Option<Self::Mechanism>) -> Self;
+    fn new(disabled: Option<Self::Mechanism>) -> Self;
     fn step() -> BoxedStrategy<Self::Step>;
     fn apply(&mut self, step: Self::Step);
     fn check(&self);
-    /// Heals everything and checks that the system recovers.
+    /// Ends all injected failures and checks that the system recovers.
     fn finish(self);
 }
 
-/// Settings of one run.
+/// Settings of one fuzz test.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct FuzzSettings {
-    /// Seed of the random numbers.
+    /// Seed of the random number generator.
     pub(crate) seed: u64,
-    /// Number of cases; the variable `PROPTEST_CASES` may raise it.
+    /// Number of cases; the environment variable `PROPTEST_CASES` can raise it.
     pub(crate) cases: u32,
-    /// Largest number of steps in a case.
+    /// Upper limit of the number of steps in a case, exclusive.
     pub(crate) steps: usize,
 }
 
@@ -82,8 +83,8 @@
         W::step()
     }
 
-    fn apply(off: Self::State, _: &W::Step) -> Self::State {
-        off
+    fn apply(disabled: Self::State, _: &W::Step) -> Self::State {
+        disabled
     }
 }
 
@@ -91,54 +92,59 @@
     type SystemUnderTest = W;
     type Reference = Self;
 
-    fn init_test(off: &Option<W::Mechanism>) -> W {
-        W::new(*off)
+    fn init_test(disabled: &Option<W::Mechanism>) -> W {
+        W::new(*disabled)
     }
 
-    fn apply(mut world: W, _: &Option<W::Mechanism>, step: W::Step) -> W {
-        world.apply(step);
-        world
+    fn apply(mut simulation: W, _: &Option<W::Mechanism>, step: W::Step) -> W {
+        simulation.apply(step);
+        simulation
     }
 
-    fn check_invariants(world: &W, _: &Option<W::Mechanism>) {
-        world.check();
+    fn check_invariants(simulation: &W, _: &Option<W::Mechanism>) {
+        simulation.check();
     }
 
-    fn teardown(world: W, _: Option<W::Mechanism>) {
-        world.finish();
+    fn teardown(simulation: W, _: Option<W::Mechanism>) {
+        simulation.finish();
     }
 }
 
-/// Asserts that no case breaks a promise.
+/// Asserts that no case violates an invariant.
 pub(crate) fn assert_invariants_hold<W: Simulation>(settings: FuzzSettings) {
     if let Err(error) = execute::<W>(settings, None, u32::MAX, &Cell::new(0)) {
         panic!("seed {}: {error}", settings.seed);
     }
 }
 
-/// Asserts that some case breaks a promise while a mechanism is off.
-pub(crate) fn assert_detected<W: Simulation>(settings: FuzzSettings, off: W::Mechanism) {
+/// Asserts that some case violates an invariant while a mechanism is disabled.
+pub(crate) fn assert_detected<W: Simulation>(settings: FuzzSettings, disabled: W::Mechanism) {
     let (executed, seed) = (Cell::new(0), settings.seed);
-    // One attempt to shrink is the least that the state machine strategy works with.
-    match execute::<W>(settings, Some(off), 1, &executed) {
+    // The state machine strategy needs at least one shrink iteration.
+    match execute::<W>(settings, Some(disabled), 1, &executed) {
         Err(TestError::Fail(reason, _)) => {
-            println!("{off:?}: seed {seed}: caught within {} cases: {reason}", executed.get());
+            println!(
+                "{disabled:?}: seed {seed}: violation found within {} cases: {reason}",
+                executed.get()
+            );
+        }
+        _ => {
+            panic!("{disabled:?}: seed {seed}: no violation found within {} cases", executed.get())
         }
-        _ => panic!("{off:?}: seed {seed}: not caught within {} cases", executed.get()),
     }
 }
 
 fn execute<W: Simulation>(
     settings: FuzzSettings,
-    off: Option<W::Mechanism>,
+    disabled: Option<W::Mechanism>,
     max_shrink_iters: u32,
     executed: &Cell<u32>,
 ) -> Result<(), TestError<String>> {
     let config = Config { max_shrink_iters, ..config(settings.seed, settings.cases) };
     let strategy = Machine::<W>::sequential_strategy(1..settings.steps);
-    let outcome = TestRunner::new(config.clone()).run(&strategy, |(_, steps, seen)| {
+    let outcome = TestRunner::new(config.clone()).run(&strategy, |(_, steps, seen_counter)| {
         executed.set(executed.get() + 1);
-        Machine::<W>::test_sequential(config.clone(), off, steps, seen);
+        Machine::<W>::test_sequential(config.clone(), disabled, steps, seen_counter);
         Ok(())
     });
     outcome.map_err(|error| match error {
@@ -147,11 +153,11 @@
     })
 }
 
-/// Settings of a test with a fixed seed and at least `cases` cases.
+/// Returns the proptest settings of a test with a fixed seed and at least `cases` cases.
 pub(crate) fn config(seed: u64, cases: u32) -> Config {
-    let raised = std::env::var("PROPTEST_CASES").ok().and_then(|it| it.parse().ok());
+    let requested = std::env::var("PROPTEST_CASES").ok().and_then(|it| it.parse().ok());
     Config {
-        cases: cases.max(raised.unwrap_or(0)),
+        cases: cases.max(requested.unwrap_or(0)),
         rng_seed: RngSeed::Fixed(seed),
         failure_persistence: None,
         ..Config::default()
