--- a/crates/entry/src/relay/mod.rs
+++ b/crates/entry/src/relay/mod.rs
@@ -36,7 +36,7 @@
         server::{handle_metrics, handle_ready, serve_callers},
         state::Relay,
     },
-    serve::with_logs,
+    serve::run_with_logging,
 };
 
 pub(crate) use settings::{RelaySettings, options, with_rendered_settings};
@@ -60,7 +60,7 @@
 
 /// Runs a relay until a graceful shutdown has finished.
 pub(crate) async fn run(settings: RelaySettings) -> ExitCode {
-    with_logs(settings.log_level, serve(settings)).await
+    run_with_logging(settings.log_level, serve(settings)).await
 }
 
 async fn serve(mut settings: RelaySettings) -> io::Result<()> {
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -22,11 +22,11 @@
 
 /// Serves callers until a planned stop has finished.
 pub(crate) async fn run(settings: Settings) -> ExitCode {
-    with_logs(settings.log_level, serve(settings)).await
+    run_with_logging(settings.log_level, serve(settings)).await
 }
 
 /// Runs an entry with the process's logger and turns its end into an exit code.
-pub(crate) async fn with_logs(
+pub(crate) async fn run_with_logging(
     level: LevelFilter,
     entry: impl Future<Output = io::Result<()>>,
 ) -> ExitCode {
