--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -179,8 +179,8 @@
         self.gate.confirm(sent_ms, age_ms);
     }
 
-    /// Upper bound on the age of the control state, in milliseconds; `None` if it was never
-    /// confirmed.
+    /// Returns an upper bound on the age of the control state, in milliseconds; `None` if it was
+    /// never confirmed.
     pub fn control_age_ms(&self, now_ms: u64) -> Option<u64> {
         self.gate.age_ms(now_ms)
     }
@@ -289,7 +289,7 @@
     }
 
     /// Does the periodic work. The interval between two calls must stay below the pause limit, or
-    /// the gate takes the gap for a pause of the process.
+    /// the gate treats the interval as a pause of the process.
     pub fn tick(&mut self, now_ms: u64) {
         self.gate.tick(now_ms);
         self.capacity.on_tick(now_ms);
@@ -361,7 +361,7 @@
         }
         let admission =
             self.quarantine.admit_submit(submission.fingerprint, &submission.strikes, now_ms);
-        let alone = match admission {
+        let exclusive = match admission {
             Some(Admission::Normal) => false,
             Some(Admission::Exclusive) => true,
             Some(Admission::Refused) => return Err(Reason::Quarantined),
@@ -373,7 +373,7 @@
             deadline_ms: submission.deadline_ms,
             dispatch_by_ms: submission.dispatch_by_ms,
             estimate_ms: submission.estimate_ms,
-            exclusive: alone,
+            exclusive,
         };
         self.push(key, entry, submission.fingerprint, now_ms)
     }
--- a/crates/core/src/agent/dispatch.rs
+++ b/crates/core/src/agent/dispatch.rs
@@ -44,11 +44,11 @@
             if !self.capacity.can_start() {
                 return None;
             }
-            let Some(next) = self.pop(now_ms) else {
+            let Some(popped) = self.pop(now_ms) else {
                 self.needs_probe |= self.start_needs_probe() && self.queue.queued() > 0;
                 return None;
             };
-            if let Some(dispatch) = self.start(next, now_ms) {
+            if let Some(dispatch) = self.start(popped, now_ms) {
                 return Some(dispatch);
             }
         }
@@ -93,38 +93,38 @@
     }
 
     /// Starts an attempt taken from the queue, unless it may no longer run.
-    pub(super) fn start(&mut self, next: Popped, now_ms: u64) -> Option<Dispatch> {
-        let Some(&key) = self.keys_by_queue_entry.get(&next.key) else {
-            self.queue.finish(next.key);
+    pub(super) fn start(&mut self, popped: Popped, now_ms: u64) -> Option<Dispatch> {
+        let Some(&key) = self.keys_by_queue_entry.get(&popped.key) else {
+            self.queue.finish(popped.key);
             return None;
         };
         let waiting = self.waiting[&key];
         match self.quarantine.admit(waiting.fingerprint, now_ms) {
             Admission::Refused => {
-                self.queue.finish(next.key);
+                self.queue.finish(popped.key);
                 self.refuse(key, Reason::Quarantined, now_ms);
                 return None;
             }
-            Admission::Exclusive if !next.entry.exclusive => {
-                self.requeue_alone(key, next, waiting.fingerprint, now_ms);
+            Admission::Exclusive if !popped.entry.exclusive => {
+                self.requeue_exclusive(key, popped, waiting.fingerprint, now_ms);
                 return None;
             }
             Admission::Exclusive | Admission::Normal => {}
         }
-        let Some(call) = self.capacity.try_start(now_ms, next.entry.estimate_ms) else {
-            self.queue.finish(next.key);
+        let Some(call) = self.capacity.try_start(now_ms, popped.entry.estimate_ms) else {
+            self.queue.finish(popped.key);
             self.refuse(key, Reason::Busy, now_ms);
             return None;
         };
         if self.ledger.begin_dispatch(key, now_ms) != DispatchCheck::Dispatch {
             self.capacity.finish(now_ms, call, CallEnd::Abandoned);
-            self.queue.finish(next.key);
-            self.untrack_queued(key, next.key);
+            self.queue.finish(popped.key);
+            self.untrack_queued(key, popped.key);
             self.changed.push(waiting.attempt);
             return None;
         }
         self.waiting.remove(&key);
-        let queued_ms = next.queued_ms;
+        let queued_ms = popped.queued_ms;
         let started = RunningCall {
             accepted: waiting,
             capacity_key: call,
@@ -136,17 +136,17 @@
         Some(Dispatch { key, attempt: waiting.attempt, queued_ms })
     }
 
-    /// Requeues, to run alone, an attempt whose request received a strike while it waited.
-    pub(super) fn requeue_alone(
+    /// Requeues, as exclusive, an attempt whose request received a strike while it waited.
+    pub(super) fn requeue_exclusive(
         &mut self,
         key: AttemptKey,
-        next: Popped,
+        popped: Popped,
         fingerprint: Digest,
         now_ms: u64,
     ) {
-        self.queue.finish(next.key);
-        self.untrack_queued(key, next.key);
-        let entry = QueueEntry { exclusive: true, ..next.entry };
+        self.queue.finish(popped.key);
+        self.untrack_queued(key, popped.key);
+        let entry = QueueEntry { exclusive: true, ..popped.entry };
         if let Err(reason) = self.push(key, entry, fingerprint, now_ms) {
             self.refuse(key, reason, now_ms);
         }
--- a/crates/core/src/switch.rs
+++ b/crates/core/src/switch.rs
@@ -4,7 +4,7 @@
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct MechanismSwitch<T> {
     #[cfg(feature = "sabotage")]
-    off: Option<T>,
+    disabled: Option<T>,
     #[cfg(not(feature = "sabotage"))]
     kind: std::marker::PhantomData<T>,
 }
@@ -14,7 +14,7 @@
     pub(crate) fn new() -> Self {
         Self {
             #[cfg(feature = "sabotage")]
-            off: None,
+            disabled: None,
             #[cfg(not(feature = "sabotage"))]
             kind: std::marker::PhantomData,
         }
@@ -23,13 +23,13 @@
     /// Disables `mechanism`; only one can be disabled at a time.
     #[cfg(feature = "sabotage")]
     pub(crate) fn disable(&mut self, mechanism: T) {
-        self.off = Some(mechanism);
+        self.disabled = Some(mechanism);
     }
 
     /// Tells whether `mechanism` is disabled.
     #[cfg(feature = "sabotage")]
     pub(crate) fn is_disabled(&self, mechanism: T) -> bool {
-        self.off == Some(mechanism)
+        self.disabled == Some(mechanism)
     }
 
     /// Tells whether `mechanism` is disabled; always false without the feature.
