--- a/crates/agent/src/executor.rs
+++ b/crates/agent/src/executor.rs
@@ -365,7 +365,7 @@
     async fn settle_loss(self: &Arc<Self>) {
         loop {
             self.probe().await;
-            if !self.lock().core.is_stop_suspected() {
+            if !self.lock().core.is_crash_suspected() {
                 return;
             }
             tokio::time::sleep(LOSS_PROBE_INTERVAL).await;
--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 
 use super::{
+    crash_detection::{CallResult, CrashDetector, ProbeTicket, usage},
     settings::AgentSettings,
-    stops::{CallResult, ProbeTicket, StopDetector, usage},
 };
 use crate::{
     FastMap,
@@ -92,7 +92,7 @@
     pub(super) capacity: Capacity,
     pub(super) gate: Gate,
     pub(super) quarantine: Quarantine,
-    pub(super) stops: StopDetector,
+    pub(super) crash_detector: CrashDetector,
     pub(super) waiting: FastMap<AttemptKey, AcceptedAttempt>,
     pub(super) keys_by_queue_entry: FastMap<EntryKey, AttemptKey>,
     pub(super) calls: FastMap<AttemptKey, RunningCall>,
@@ -121,7 +121,7 @@
             capacity: Capacity::new(CapacityConfig::default()),
             gate: Gate::new(settings.gate.clone(), now_ms),
             quarantine: Quarantine::new(settings.quarantine),
-            stops: StopDetector::default(),
+            crash_detector: CrashDetector::default(),
             waiting: FastMap::default(),
             keys_by_queue_entry: FastMap::default(),
             calls: FastMap::default(),
@@ -273,9 +273,9 @@
         self.ledger.read(attempt, from_sequence, max_bytes)
     }
 
-    /// Tells whether a response broke off and no probe has shown yet whether the upstream stopped.
-    pub fn is_stop_suspected(&self) -> bool {
-        self.stops.is_suspected()
+    /// Tells whether a response broke off and no probe has shown yet whether the upstream crashed.
+    pub fn is_crash_suspected(&self) -> bool {
+        self.crash_detector.is_suspected()
     }
 
     /// Merges strikes received from a peer.
--- a/crates/core/src/agent/stops.rs
+++ b/crates/core/src/agent/crash_detection.rs
@@ -1,4 +1,4 @@
-//! Detection of upstream stops (crashes and restarts) from interrupted calls and probes.
+//! Detection of upstream crashes and restarts from interrupted calls and probes.
 
 use crate::{
     capacity::Epoch,
@@ -69,42 +69,43 @@
     pub(crate) number: u64,
 }
 
-/// Detects stops of the upstream and counts each of them once.
+/// Detects crashes and restarts of the upstream, here both called crashes, and counts each of them
+/// once.
 #[derive(Clone, Debug, Default)]
-pub(crate) struct StopDetector {
+pub(crate) struct CrashDetector {
     boot_id: Option<u64>,
-    /// Whether the last probe was refused, so that the stop it showed is already counted.
+    /// Whether the last probe was refused, so that the crash it showed is already counted.
     refused: bool,
-    suspected: Option<SuspectedStop>,
-    /// Number of stops so far.
+    suspected: Option<SuspectedCrash>,
+    /// Number of crashes so far.
     count: u32,
 }
 
 /// Calls that were in progress when a response broke off.
 #[derive(Clone, Debug)]
-struct SuspectedStop {
+struct SuspectedCrash {
     epoch: Epoch,
     in_progress: Vec<Digest>,
 }
 
-/// A stop confirmed by a probe.
+/// A crash confirmed by a probe.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct ConfirmedStop {
-    /// Sequence number of the stop, counted from one.
+pub(crate) struct ConfirmedCrash {
+    /// Sequence number of the crash, counted from one.
     pub(crate) number: u32,
-    /// Fingerprints of the requests in progress when the upstream stopped.
+    /// Fingerprints of the requests in progress when the upstream crashed.
     pub(crate) in_progress: Vec<Digest>,
 }
 
-impl StopDetector {
+impl CrashDetector {
     /// Records that a response broke off while the calls in `in_progress` were running.
     pub(crate) fn on_lost(&mut self, epoch: Epoch, in_progress: Vec<Digest>) {
         if self.suspected.is_none() {
-            self.suspected = Some(SuspectedStop { epoch, in_progress });
+            self.suspected = Some(SuspectedCrash { epoch, in_progress });
         }
     }
 
-    /// Tells whether a stop is suspected and not yet confirmed or ruled out by a probe.
+    /// Tells whether a crash is suspected and not yet confirmed or ruled out by a probe.
     pub(crate) fn is_suspected(&self) -> bool {
         self.suspected.is_some()
     }
@@ -116,18 +117,18 @@
         epoch: Epoch,
         result: ProbeResult,
         in_progress: impl FnOnce() -> Vec<Digest>,
-    ) -> Option<ConfirmedStop> {
-        let stopped = match result {
+    ) -> Option<ConfirmedCrash> {
+        let crashed = match result {
             ProbeResult::Answered { boot_id, .. } => self.update_boot_id(boot_id),
             ProbeResult::Refused => !std::mem::replace(&mut self.refused, true),
             ProbeResult::NoAnswer => return None,
         };
         let suspected = match &self.suspected {
             // A probe sent before the response broke off may also have been answered before that.
-            Some(suspected) if suspected.epoch > epoch && !stopped => return None,
+            Some(suspected) if suspected.epoch > epoch && !crashed => return None,
             _ => self.suspected.take(),
         };
-        if !stopped {
+        if !crashed {
             return None;
         }
         self.count += 1;
@@ -135,7 +136,7 @@
             Some(suspected) => suspected.in_progress,
             None => in_progress(),
         };
-        Some(ConfirmedStop { number: self.count, in_progress })
+        Some(ConfirmedCrash { number: self.count, in_progress })
     }
 
     /// Stores the boot identifier; returns true if it shows a restart that is not counted yet.
--- a/crates/core/src/agent/dispatch.rs
+++ b/crates/core/src/agent/dispatch.rs
@@ -2,7 +2,7 @@
 
 use super::{
     core::{AgentCore, Dispatch, RunningCall},
-    stops::ProbeTicket,
+    crash_detection::ProbeTicket,
 };
 use crate::{
     attempt::{AttemptKey, DispatchCheck},
@@ -37,7 +37,7 @@
                     return None;
                 }
             }
-            if self.stops.is_suspected() {
+            if self.crash_detector.is_suspected() {
                 return None;
             }
             self.capacity.on_tick(now_ms);
--- a/crates/core/src/agent/mod.rs
+++ b/crates/core/src/agent/mod.rs
@@ -10,12 +10,12 @@
 mod dispatch;
 mod probing;
 mod settings;
-mod stops;
+mod crash_detection;
 
 #[cfg(feature = "sabotage")]
 pub use self::settings::Sabotage;
 pub use self::{
     core::{AgentCore, Dispatch, Submission},
+    crash_detection::{CallResult, ProbeResult, ProbeTicket},
     settings::AgentSettings,
-    stops::{CallResult, ProbeResult, ProbeTicket},
 };
--- a/crates/core/src/agent/probing.rs
+++ b/crates/core/src/agent/probing.rs
@@ -2,7 +2,7 @@
 
 use super::{
     core::{AgentCore, fingerprints},
-    stops::{ProbeResult, ProbeTicket},
+    crash_detection::{ProbeResult, ProbeTicket},
 };
 use crate::{capacity::Probe, quarantine::Strike};
 
@@ -14,7 +14,7 @@
     pub fn on_lost(&mut self) {
         let in_progress = self.running_fingerprints();
         self.capacity.on_reset();
-        self.stops.on_lost(self.capacity.epoch(), in_progress);
+        self.crash_detector.on_lost(self.capacity.epoch(), in_progress);
     }
 
     /// Registers a probe that is sent at `now_ms` and returns its ticket.
@@ -45,7 +45,7 @@
         let epoch = ticket.epoch;
         let calls = &self.calls;
         let in_progress = || fingerprints(calls);
-        let stop = self.stops.on_probe(epoch, result, in_progress);
+        let crash = self.crash_detector.on_probe(epoch, result, in_progress);
         match result {
             ProbeResult::Answered { boot_id, warm } => {
                 self.capacity.on_probe(Probe { epoch, boot_id, warm });
@@ -58,8 +58,8 @@
             ProbeResult::Refused => self.capacity.on_stop(),
             ProbeResult::NoAnswer => self.capacity.on_connect_failure(now_ms),
         }
-        let Some(stop) = stop else { return Vec::new() };
+        let Some(crash) = crash else { return Vec::new() };
         let agent = self.settings.incarnation;
-        self.quarantine.on_crash(agent, stop.number, &stop.in_progress, now_ms)
+        self.quarantine.on_crash(agent, crash.number, &crash.in_progress, now_ms)
     }
 }
--- a/crates/core/src/document/mod.rs
+++ b/crates/core/src/document/mod.rs
@@ -47,7 +47,7 @@
     pub request_read_timeout_ms: u64,
     /// Number of retries allowed per hundred completed attempts.
     pub retries_per_hundred: u32,
-    /// Number of upstream stops attributed to a request at which it is quarantined.
+    /// Number of upstream crashes with a request in progress at which the request is quarantined.
     pub quarantine_strikes: u32,
 }
 
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -56,7 +56,7 @@
     Cancelled,
     /// The agent has no record of the attempt identifier.
     UnknownAttempt,
-    /// The request is quarantined because upstreams stopped while they were running it.
+    /// The request is quarantined because upstreams crashed while they were running it.
     Quarantined,
     /// The agent holds strikes against the request that the sender did not know of.
     Suspected,
--- a/crates/core/src/sabotage.rs
+++ b/crates/core/src/sabotage.rs
@@ -46,7 +46,7 @@
     DispatchNumber,
     /// The expiry of the dispatch permission is ignored.
     DispatchPermission,
-    /// Enough strikes quarantine a request even if it never ran alone when an upstream stopped.
+    /// Enough strikes quarantine a request even if it never ran alone when an upstream crashed.
     QuarantineOnlyAlone,
     /// A request with strikes is admitted like any other instead of running alone.
     RunSuspectsAlone,
