--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -3,8 +3,8 @@
 use bytes::Bytes;
 
 use super::{
+    crash_detection::{CallResult, CrashDetector, ProbeTicket, usage},
     settings::AgentSettings,
-    stops::{CallResult, ProbeTicket, StopDetector, usage},
 };
 use crate::{
     FastMap,
@@ -92,7 +92,7 @@
     pub(super) capacity: Capacity,
     pub(super) gate: Gate,
     pub(super) quarantine: Quarantine,
-    pub(super) stops: StopDetector,
+    pub(super) crash_detector: CrashDetector,
     pub(super) waiting: FastMap<AttemptKey, AcceptedAttempt>,
     pub(super) keys_by_queue_entry: FastMap<EntryKey, AttemptKey>,
     pub(super) calls: FastMap<AttemptKey, RunningCall>,
@@ -121,7 +121,7 @@
             capacity: Capacity::new(CapacityConfig::default()),
             gate: Gate::new(settings.gate.clone(), now_ms),
             quarantine: Quarantine::new(settings.quarantine),
-            stops: StopDetector::default(),
+            crash_detector: CrashDetector::default(),
             waiting: FastMap::default(),
             keys_by_queue_entry: FastMap::default(),
             calls: FastMap::default(),
@@ -179,8 +179,8 @@
         self.gate.confirm(sent_ms, age_ms);
     }
 
-    /// Upper bound on the age of the control state, in milliseconds; `None` if it was never
-    /// confirmed.
+    /// Returns an upper bound on the age of the control state, in milliseconds; `None` if it was
+    /// never confirmed.
     pub fn control_age_ms(&self, now_ms: u64) -> Option<u64> {
         self.gate.age_ms(now_ms)
     }
@@ -273,9 +273,9 @@
         self.ledger.read(attempt, from_sequence, max_bytes)
     }
 
-    /// Tells whether a response broke off and no probe has shown yet whether the upstream stopped.
-    pub fn is_stop_suspected(&self) -> bool {
-        self.stops.is_suspected()
+    /// Tells whether a response broke off and no probe has shown yet whether the upstream crashed.
+    pub fn is_crash_suspected(&self) -> bool {
+        self.crash_detector.is_suspected()
     }
 
     /// Merges strikes received from a peer.
@@ -289,7 +289,7 @@
     }
 
     /// Does the periodic work. The interval between two calls must stay below the pause limit, or
-    /// the gate takes the gap for a pause of the process.
+    /// the gate treats the interval as a pause of the process.
     pub fn tick(&mut self, now_ms: u64) {
         self.gate.tick(now_ms);
         self.capacity.on_tick(now_ms);
@@ -361,7 +361,7 @@
         }
         let admission =
             self.quarantine.admit_submit(submission.fingerprint, &submission.strikes, now_ms);
-        let alone = match admission {
+        let exclusive = match admission {
             Some(Admission::Normal) => false,
             Some(Admission::Exclusive) => true,
             Some(Admission::Refused) => return Err(Reason::Quarantined),
@@ -373,7 +373,7 @@
             deadline_ms: submission.deadline_ms,
             dispatch_by_ms: submission.dispatch_by_ms,
             estimate_ms: submission.estimate_ms,
-            exclusive: alone,
+            exclusive,
         };
         self.push(key, entry, submission.fingerprint, now_ms)
     }
