--- a/crates/core/src/admission/mod.rs
+++ b/crates/core/src/admission/mod.rs
@@ -230,7 +230,7 @@
         let upcoming = self.upcoming.get(&stage.pool).copied().unwrap_or(0);
         let upcoming = u64::from(upcoming) * estimated_active_entries(&stage.load);
         let ahead = u64::from(stage.load.outstanding) + upcoming;
-        let limit = u64::from(stage.load.projected_limit.max(1));
+        let limit = u64::from(stage.load.limit.max(1));
         if ahead < limit {
             return 0;
         }
@@ -301,7 +301,7 @@
 /// Entries don't report calls that they have admitted but not sent, so the number of this entry's
 /// own is multiplied by this estimate.
 fn estimated_active_entries(load: &PoolLoad) -> u64 {
-    let entries = u64::from(load.outstanding) / u64::from(load.own_outstanding.max(1));
+    let entries = u64::from(load.outstanding) / u64::from(load.own.max(1));
     entries.clamp(1, MAX_ACTIVE_ENTRIES)
 }
 
--- a/crates/core/src/admission/tests.rs
+++ b/crates/core/src/admission/tests.rs
@@ -16,12 +16,7 @@
 
 impl Entry {
     fn admit(&mut self, customer: CustomerKey, outstanding: u32) -> Result<Admitted, Refusal> {
-        let load = PoolLoad {
-            upstreams: 2,
-            outstanding,
-            own_outstanding: outstanding,
-            projected_limit: 10,
-        };
+        let load = PoolLoad { upstreams: 2, outstanding, own: outstanding, limit: 10 };
         let stage = StageWork { pool: self.pool, max_tokens: 0, load };
         self.admission.admit(0, &self.estimates, customer, 1_000, &[stage, stage])
     }
@@ -52,7 +47,7 @@
 fn deadline_shorter_than_the_run_time_is_refused_even_by_an_idle_pool() {
     let mut entry = entry();
     let customer = entry.admission.register_customer("a", 1);
-    let load = PoolLoad { upstreams: 1, outstanding: 0, own_outstanding: 0, projected_limit: 1 };
+    let load = PoolLoad { upstreams: 1, outstanding: 0, own: 0, limit: 1 };
     let stage = StageWork { pool: entry.pool, max_tokens: 0, load };
     let refusal = entry.admission.admit(0, &entry.estimates, customer, 99, &[stage]).unwrap_err();
     assert_eq!(refusal.reason, Reason::DeadlineUnreachable);
@@ -103,7 +98,7 @@
 fn backlog_is_limited_by_the_declared_pipeline_with_the_smallest_slack() {
     let mut entry = entry();
     let customer = entry.admission.register_customer("a", 1);
-    let load = PoolLoad { upstreams: 2, outstanding: 40, own_outstanding: 40, projected_limit: 10 };
+    let load = PoolLoad { upstreams: 2, outstanding: 40, own: 40, limit: 10 };
     let stage = StageWork { pool: entry.pool, max_tokens: 0, load };
     let long_ms = 60_000;
     assert!(entry.admission.admit(0, &entry.estimates, customer, long_ms, &[stage]).is_ok());
--- a/crates/core/src/routing/pool.rs
+++ b/crates/core/src/routing/pool.rs
@@ -47,9 +47,9 @@
     /// Calls that run or wait at these upstreams.
     pub outstanding: u32,
     /// Outstanding calls that this entry sent.
-    pub own_outstanding: u32,
+    pub own: u32,
     /// Sum of the concurrency limits that these upstreams are expected to reach shortly.
-    pub projected_limit: u32,
+    pub limit: u32,
 }
 
 /// How an attempt ended, as input to the health of the upstream.
@@ -280,8 +280,8 @@
             }
             pool.upstreams += 1;
             pool.outstanding += load.running + load.queued + upstream.sent_since_reply;
-            pool.own_outstanding += upstream.in_flight;
-            pool.projected_limit += load.projected_limit;
+            pool.own += upstream.in_flight;
+            pool.limit += load.projected_limit;
         }
         pool
     }
--- a/crates/core/tests/admission_fuzz.rs
+++ b/crates/core/tests/admission_fuzz.rs
@@ -30,8 +30,11 @@
 }
 
 fn pool_load() -> impl Strategy<Value = PoolLoad> {
-    (0..4_u32, 0..200_u32, 0..64_u32).prop_map(|(upstreams, outstanding, projected_limit)| {
-        PoolLoad { upstreams, outstanding, own_outstanding: outstanding / 3, projected_limit }
+    (0..4_u32, 0..200_u32, 0..64_u32).prop_map(|(upstreams, outstanding, limit)| PoolLoad {
+        upstreams,
+        outstanding,
+        own: outstanding / 3,
+        limit,
     })
 }
 
@@ -85,7 +88,7 @@
             admission.on_stage_sent(key);
             admission.finish(key);
         }
-        let idle = PoolLoad { upstreams: 1, outstanding: 0, own_outstanding: 0, projected_limit: 1 };
+        let idle = PoolLoad { upstreams: 1, outstanding: 0, own: 0, limit: 1 };
         let stages = [
             StageWork { pool: first, max_tokens: 0, load: idle },
             StageWork { pool: second, max_tokens: 200, load: idle },
--- a/crates/entry/src/run/stage.rs
+++ b/crates/entry/src/run/stage.rs
@@ -239,7 +239,7 @@
                 sent_ms,
                 expected_ms: self.estimate_ms,
                 finish_by_ms: self.request.deadline_ms,
-                other_has_capacity: load.upstreams > 1 && load.outstanding < load.projected_limit,
+                other_has_capacity: load.upstreams > 1 && load.outstanding < load.limit,
             };
             let decision = self.entry.policy.with_latency(pool, |latency| {
                 decide(now_ms, &query, latency, &mut self.entry.retry_budget())
