--- a/crates/core/src/document/mod.rs
+++ b/crates/core/src/document/mod.rs
@@ -47,7 +47,8 @@
     pub request_read_timeout_ms: u64,
     /// Number of retries allowed per hundred completed attempts.
     pub retries_per_hundred: u32,
-    /// Number of upstream crashes with a request in progress at which the request is quarantined.
+    /// Number of strikes at which a request is quarantined; it gets one for each upstream that
+    /// crashes while running it.
     pub quarantine_strikes: u32,
 }
 
