--- a/crates/core/src/control/change.rs
+++ b/crates/core/src/control/change.rs
@@ -189,7 +189,7 @@
     pub fn change_operations(change: OperationsChange, change_id: ChangeId) -> Self {
         let propose = move |current: Option<&OperationsRecord>| {
             let initial = OperationsRecord::initial();
-            match current.unwrap_or(&initial).with(&change) {
+            match current.unwrap_or(&initial).with_change(&change) {
                 Some(record) => Proposal::Record(record),
                 None => Proposal::InForce,
             }
--- a/crates/core/src/control/operations.rs
+++ b/crates/core/src/control/operations.rs
@@ -62,7 +62,7 @@
 
     /// Returns the next version of the record with `change` applied, or `None` if it is already in
     /// force.
-    pub fn with(&self, change: &OperationsChange) -> Option<Self> {
+    pub fn with_change(&self, change: &OperationsChange) -> Option<Self> {
         let mut next = self.clone();
         let is_changed = match change {
             OperationsChange::DataCentreOut(name) => insert(&mut next.data_centres_out, name),
--- a/crates/core/src/control/tests.rs
+++ b/crates/core/src/control/tests.rs
@@ -121,7 +121,7 @@
     flow.start();
     flow.handle(ChangeEvent::Missing);
     flow.handle(ChangeEvent::Conflict);
-    let record = OperationsRecord::initial().with(&out("west")).unwrap();
+    let record = OperationsRecord::initial().with_change(&out("west")).unwrap();
     let entry = HistoryEntry { version: 2, digest: record.digest(), change_id: change_id(2) };
     let stored = Stored::successor(None, record, entry);
     let action = flow.handle(ChangeEvent::Read { revision: 1, stored });
--- a/crates/core/src/drain/tests.rs
+++ b/crates/core/src/drain/tests.rs
@@ -22,7 +22,7 @@
 fn control(changes: &[OperationsChange]) -> ControlState {
     let mut operations = OperationsRecord::initial();
     for change in changes {
-        operations = operations.with(change).unwrap();
+        operations = operations.with_change(change).unwrap();
     }
     let config = ConfigRecord { version: 1, digest: Digest::of(b""), text: Arc::from("") };
     let mut state = ControlState::new();
--- a/crates/core/src/membership/tests.rs
+++ b/crates/core/src/membership/tests.rs
@@ -93,7 +93,7 @@
 fn upstreams_of_a_data_centre_that_is_out_get_no_work() {
     let (mut directory, key) = directory();
     let out = OperationsChange::DataCentreOut("east".to_owned());
-    let operations = OperationsRecord::initial().with(&out).unwrap();
+    let operations = OperationsRecord::initial().with_change(&out).unwrap();
     directory.set_operations(&Arc::new(operations));
     assert_eq!(directory.check(key), Err(Reason::DataCentreOut));
     directory.apply_list(list(2, vec![record("engine-2", InstanceState::Live)]));
--- a/crates/core/tests/drain_fuzz/simulation.rs
+++ b/crates/core/tests/drain_fuzz/simulation.rs
@@ -114,7 +114,7 @@
         if !self.is_platform_up {
             return;
         }
-        if let Some(next) = self.operations.with(&change) {
+        if let Some(next) = self.operations.with_change(&change) {
             self.operations = next;
         }
         for agent in &mut self.agents {
--- a/crates/core/tests/membership_fuzz/simulation.rs
+++ b/crates/core/tests/membership_fuzz/simulation.rs
@@ -117,7 +117,7 @@
             2 => OperationsChange::UpstreamLeave(name(index)),
             _ => OperationsChange::UpstreamReturn(name(index)),
         };
-        if let Some(next) = self.operations.with(&change) {
+        if let Some(next) = self.operations.with_change(&change) {
             self.operations = next;
             self.directory.set_operations(&Arc::new(self.operations.clone()));
         }
--- a/crates/fakes/src/scenarios/drive.rs
+++ b/crates/fakes/src/scenarios/drive.rs
@@ -160,7 +160,7 @@
         let stored = client.get::<StoredOperations>(Kind::Operations, "current").await?;
         let current = stored.as_ref().map(|it| it.spec.record.clone());
         let current = current.unwrap_or_else(OperationsRecord::initial);
-        let Some(record) = current.with(change) else { return Ok(()) };
+        let Some(record) = current.with_change(change) else { return Ok(()) };
         let next = StoredOperations { record, history: Vec::new() };
         match stored {
             Some(stored) => {
