--- a/crates/entry/tests/settings.rs
+++ b/crates/entry/tests/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the entry binary are checked before anything is opened.
+//! The entry binary reports invalid settings and exits before it opens any socket.
 
 use std::process::{Command, Output};
 
@@ -6,21 +6,21 @@
     Command::new(env!("CARGO_BIN_EXE_yuccatrail"))
         .args(arguments)
         .output()
-        .expect("the binary starts")
+        .expect("the binary should start")
 }
 
 #[test]
-fn faulty_setting_is_named() {
+fn invalid_setting_is_named_in_error_message() {
     let output = run(&["serve", "--name", "", "--data-centre", "north", "--listen", "127.0.0.1:0"]);
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
-    assert!(text.contains("name must not be empty"), "unexpected message: {text}");
+    assert!(text.contains("name must not be empty"), "unexpected error message: {text}");
 }
 
 #[test]
-fn missing_setting_is_named() {
+fn missing_setting_is_named_in_error_message() {
     let output = run(&["serve", "--name", "entry-0", "--data-centre", "north"]);
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
-    assert!(text.contains("--listen"), "unexpected message: {text}");
+    assert!(text.contains("--listen"), "unexpected error message: {text}");
 }
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -1,4 +1,4 @@
-//! Runs the `yuccatrail` binary against the platform stand-in and small fake entries.
+//! Runs the `yuccatrail` binary against a fake platform, with fake or real entries.
 
 use std::{
     net::SocketAddr,
@@ -36,31 +36,31 @@
 /// Another valid document.
 pub(crate) const OTHER_DOCUMENT: &str = "# second\n[[customer]]\nname = \"lone-star\"\n";
 
-static NEXT_DIRECTORY: AtomicU32 = AtomicU32::new(0);
+static NEXT_DIRECTORY_NUMBER: AtomicU32 = AtomicU32::new(0);
 
 /// Returns the digest of a text in hexadecimal form.
 pub(crate) fn digest(text: &str) -> String {
     Digest::of(text.as_bytes()).to_string()
 }
 
-/// A platform stand-in with a directory for documents.
-pub(crate) struct Bench {
+/// A fake platform, and a directory for document files.
+pub(crate) struct Fixture {
     pub(crate) platform: FakePlatform,
     directory: PathBuf,
 }
 
-/// What a command printed and returned.
-pub(crate) struct Answer {
+/// Output and exit code of a command.
+pub(crate) struct CommandResult {
     pub(crate) code: i32,
-    /// Standard output, if it is JSON.
+    /// Standard output parsed as JSON; null if it is not JSON.
     pub(crate) json: Value,
     pub(crate) stderr: String,
 }
 
-impl Bench {
+impl Fixture {
     pub(crate) async fn start() -> Self {
         let platform = FakePlatform::start(FakeSettings::default()).await.unwrap();
-        let number = NEXT_DIRECTORY.fetch_add(1, Ordering::Relaxed);
+        let number = NEXT_DIRECTORY_NUMBER.fetch_add(1, Ordering::Relaxed);
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("operator-{}-{number}", std::process::id()));
         std::fs::create_dir_all(&directory).unwrap();
@@ -74,8 +74,8 @@
         path.to_str().unwrap().to_owned()
     }
 
-    /// Runs a command to its end.
-    pub(crate) async fn run(&self, arguments: &[&str]) -> Answer {
+    /// Runs the binary with the arguments until it exits.
+    pub(crate) async fn run(&self, arguments: &[&str]) -> CommandResult {
         let output = Command::new(env!("CARGO_BIN_EXE_yuccatrail"))
             .args(arguments)
             .env_remove("YUCCATRAIL_ENVIRONMENT")
@@ -84,14 +84,14 @@
             .output()
             .await
             .unwrap();
-        Answer {
+        CommandResult {
             code: output.status.code().unwrap(),
             json: serde_json::from_slice(&output.stdout).unwrap_or_default(),
             stderr: String::from_utf8(output.stderr).unwrap(),
         }
     }
 
-    /// Client of the production environment.
+    /// Creates a platform client for the production environment.
     pub(crate) fn production(&self) -> Client {
         Client::new(ClientSettings {
             address: self.platform.address(),
@@ -109,14 +109,14 @@
         self.production().get(Kind::Operations, CURRENT).await.unwrap().unwrap().spec
     }
 
-    /// Starts a fake entry in data centre `east` and lists it.
+    /// Starts a fake entry in data centre `east` and adds it to the instance list.
     pub(crate) async fn start_entry(&self, name: &str) -> FakeEntry {
         let entry = FakeEntry::start().await;
         self.list_entry(name, entry.address).await;
         entry
     }
 
-    /// Starts `yuccatrail serve` in data centre `east` and lists it.
+    /// Starts `yuccatrail serve` in data centre `east` and adds it to the instance list.
     pub(crate) async fn start_real_entry(&self, name: &str) -> Process {
         let platform = self.platform.address().to_string();
         let mut arguments = vec!["serve".to_owned()];
@@ -154,7 +154,7 @@
     }
 }
 
-/// Answers the peer calls of an entry with settable versions.
+/// Fake entry that replies to peer calls with configurable versions.
 pub(crate) struct FakeEntry {
     address: SocketAddr,
     versions: watch::Sender<Versions>,
@@ -171,7 +171,7 @@
     }
 
     /// Sets the versions that the entry reports.
-    pub(crate) fn report(&self, config: u64, operations: u64) {
+    pub(crate) fn set_versions(&self, config: u64, operations: u64) {
         self.versions.send_replace(Versions { config, operations });
     }
 
