--- a/crates/core/tests/agent_fuzz/main.rs
+++ b/crates/core/tests/agent_fuzz/main.rs
@@ -17,7 +17,7 @@
     outcome::Reason,
 };
 
-use crate::oracle::{Oracle, WarmProbe};
+use crate::oracle::{Oracle, SentProbe};
 
 const FUZZ: FuzzSettings = FuzzSettings { seed: 9_001, cases: 256, steps: 300 };
 const AGENT: Incarnation = Incarnation(7);
@@ -93,13 +93,13 @@
     now_ms: u64,
     /// End of the last pause, until the control state is confirmed.
     resumed_ms: Option<u64>,
-    pending_probe: Option<(ProbeTicket, WarmProbe)>,
+    pending_probe: Option<(ProbeTicket, SentProbe)>,
     /// Number of events so far.
     step: u64,
     /// Number of the event in which each attempt was submitted.
     arrival_steps: FastMap<AttemptId, u64>,
     boot_id: Option<u64>,
-    orders: FastMap<AttemptId, Submission>,
+    submissions: FastMap<AttemptId, Submission>,
     submitted: Vec<AttemptId>,
     oracle: Oracle,
 }
@@ -133,7 +133,7 @@
             step: 0,
             arrival_steps: FastMap::default(),
             boot_id: None,
-            orders: FastMap::default(),
+            submissions: FastMap::default(),
             submitted: Vec::new(),
             oracle: Oracle::default(),
         }
@@ -187,13 +187,13 @@
     fn submit(&mut self, request: u8, is_large: bool, dispatch_in_ms: u64, deadline_in_ms: u64) {
         let attempt = attempt(request);
         // An entry sets the limits of an attempt only once.
-        if self.orders.contains_key(&attempt) {
+        if self.submissions.contains_key(&attempt) {
             return;
         }
         let now_ms = self.now_ms;
         let submission =
             submission(request, is_large, now_ms + dispatch_in_ms, now_ms + deadline_in_ms);
-        self.orders.insert(attempt, submission.clone());
+        self.submissions.insert(attempt, submission.clone());
         self.submitted.push(attempt);
         self.arrival_steps.insert(attempt, self.step);
         let lookup = self.core.submit(&submission, self.now_ms);
@@ -212,23 +212,23 @@
             return;
         }
         let attempt = self.submitted[index % self.submitted.len()];
-        let submission = self.orders[&attempt].clone();
+        let submission = self.submissions[&attempt].clone();
         let lookup = self.core.submit(&submission, self.now_ms);
         self.oracle.on_report(attempt, &lookup);
     }
 
     fn cancel(&mut self, request: u8) {
         let attempt = attempt(request);
-        let known = self.orders.get(&attempt);
+        let known = self.submissions.get(&attempt);
         let dispatch_by_ms = known.map_or(self.now_ms + 500, |it| it.dispatch_by_ms);
         let (lookup, _) = self.core.cancel(attempt, AGENT, dispatch_by_ms, self.now_ms);
         self.oracle.on_report(attempt, &lookup);
-        if self.orders.contains_key(&attempt) {
+        if self.submissions.contains_key(&attempt) {
             return;
         }
         // The cancel has fixed the dispatch limit of an attempt that is not submitted yet.
         let submission = submission(request, false, dispatch_by_ms, dispatch_by_ms + 100);
-        self.orders.insert(attempt, submission);
+        self.submissions.insert(attempt, submission);
         self.submitted.push(attempt);
     }
 
@@ -259,7 +259,7 @@
     }
 
     fn send_probe(&mut self) {
-        let sent = WarmProbe { sent_ms: self.now_ms, sent_step: self.step };
+        let sent = SentProbe { sent_ms: self.now_ms, sent_step: self.step };
         self.pending_probe = Some((self.core.begin_probe(self.now_ms), sent));
         self.oracle.turned_cold_since_probe = false;
     }
@@ -299,7 +299,7 @@
             self.oracle.is_unconfirmed = false;
         }
         while let Some(dispatch) = self.core.next(self.now_ms) {
-            let submission = self.orders[&dispatch.attempt].clone();
+            let submission = self.submissions[&dispatch.attempt].clone();
             let arrival_step = self.arrival_steps[&dispatch.attempt];
             self.oracle.on_dispatch(dispatch, &submission, arrival_step, self.now_ms);
         }
--- a/crates/core/tests/agent_fuzz/oracle.rs
+++ b/crates/core/tests/agent_fuzz/oracle.rs
@@ -12,9 +12,9 @@
 
 use crate::{COLD_LIMIT, CONCURRENCY, MAX_PROBE_AGE_MS};
 
-/// Time and step at which a probe was sent that showed the upstream warm.
+/// Time and step at which a probe was sent.
 #[derive(Clone, Copy)]
-pub(crate) struct WarmProbe {
+pub(crate) struct SentProbe {
     pub(crate) sent_ms: u64,
     pub(crate) sent_step: u64,
 }
@@ -29,7 +29,8 @@
     pub(crate) is_warm: bool,
     pub(crate) completed_since_cold: u32,
     pub(crate) turned_cold_since_probe: bool,
-    pub(crate) warm_probe: Option<WarmProbe>,
+    /// Latest probe that showed the upstream warm, until it becomes cold.
+    pub(crate) warm_probe: Option<SentProbe>,
     pub(crate) is_closed: bool,
     pub(crate) is_unconfirmed: bool,
 }
