--- a/crates/core/src/drain/freshness.rs
+++ b/crates/core/src/drain/freshness.rs
@@ -27,7 +27,7 @@
 
 /// Tracks the maximum age of a process's control state and detects pauses of the process.
 ///
-/// Times come from a monotonic clock that keeps running while the process is paused. On machines
+/// Times come from a monotonic clock that keeps running while the process is paused. On instances
 /// that may be suspended as a whole it must be the boot-time clock.
 #[derive(Clone, Debug)]
 pub struct Freshness {
