--- a/crates/entry/src/relay/platform_check.rs
+++ b/crates/entry/src/relay/platform_check.rs
@@ -8,7 +8,7 @@
 use log::{info, warn};
 use tokio_util::sync::CancellationToken;
 use yuccatrail_adapter::entry_stale_read_path;
-use yuccatrail_platform::{CallKind, Client, PlatformError, PollSuspicion};
+use yuccatrail_platform::{CallKind, Client, PlatformError, PollWatchdog};
 
 use crate::relay::state::Relay;
 
@@ -16,7 +16,7 @@
 pub(crate) async fn check(relay: Arc<Relay>, client: Client, stop: CancellationToken) {
     let name = &relay.settings.name;
     let path = entry_stale_read_path(name);
-    let mut suspicion = PollSuspicion::default();
+    let mut suspicion = PollWatchdog::default();
     while !stop.is_cancelled() {
         let failure = match client.read(CallKind::Read, name, &path, 0).await {
             Err(error @ PlatformError::Unavailable { .. }) => Some(error),
@@ -25,7 +25,7 @@
         };
         let outcome = suspicion.on_check(failure.is_none(), relay.now_ms());
         relay.set_platform_unresponsive(failure.is_some());
-        if outcome.breaks_polls {
+        if outcome.cancels_polls {
             match failure {
                 Some(error) => {
                     warn!(error:% = error; "platform check got no response, relisting")
--- a/crates/platform/src/suspicion.rs
+++ b/crates/platform/src/poll_watchdog.rs
@@ -22,21 +22,21 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CheckOutcome {
     /// Whether polls that wait have to be broken off, and lists read again at once.
-    pub breaks_polls: bool,
+    pub cancels_polls: bool,
     /// Time until the next check, in milliseconds.
     pub next_check_ms: u64,
 }
 
 /// What the checks have shown.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct PollSuspicion {
+pub struct PollWatchdog {
     /// Time of the last failed check, in milliseconds, until the alert after it is over.
     failed_ms: Option<u64>,
     /// Checks in a row that failed.
     failures: u32,
 }
 
-impl PollSuspicion {
+impl PollWatchdog {
     /// Takes the outcome of a check at a time in milliseconds.
     ///
     /// Polls are broken off at the first failure, so that the pollers notice it, and at the first answer
@@ -46,14 +46,14 @@
         if !is_answered {
             self.failures += 1;
             let is_first = self.failed_ms.replace(now_ms).is_none();
-            return CheckOutcome { breaks_polls: is_first, next_check_ms: FAILED_INTERVAL_MS };
+            return CheckOutcome { cancels_polls: is_first, next_check_ms: FAILED_INTERVAL_MS };
         }
         let failures = std::mem::take(&mut self.failures);
         let is_over = self.failed_ms.is_some_and(|it| now_ms >= it + ALERT_MS);
         if is_over || failures >= OUTAGE_CHECKS {
             self.failed_ms = None;
         }
-        CheckOutcome { breaks_polls: is_over || failures > 0, next_check_ms: CHECK_INTERVAL_MS }
+        CheckOutcome { cancels_polls: is_over || failures > 0, next_check_ms: CHECK_INTERVAL_MS }
     }
 }
 
--- a/crates/platform/src/suspicion/tests.rs
+++ b/crates/platform/src/poll_watchdog/tests.rs
@@ -1,14 +1,14 @@
-use crate::suspicion::PollSuspicion;
+use crate::poll_watchdog::PollWatchdog;
 
 /// Plays checks one after the other, by whether they are answered; returns what follows from each.
 fn play(answers: &[bool]) -> Vec<bool> {
-    let mut suspicion = PollSuspicion::default();
+    let mut suspicion = PollWatchdog::default();
     let mut now_ms = 0;
     let mut breaks = Vec::new();
     for &is_answered in answers {
         let outcome = suspicion.on_check(is_answered, now_ms);
         now_ms += outcome.next_check_ms;
-        breaks.push(outcome.breaks_polls);
+        breaks.push(outcome.cancels_polls);
     }
     breaks
 }
