--- a/crates/entry/src/relay/feed.rs
+++ b/crates/entry/src/relay/feed.rs
@@ -42,7 +42,7 @@
                 changed = self.relist_signal.changed() => {
                     changed.ok()?;
                     let is_unresponsive = self.relist_signal.borrow_and_update().is_platform_unresponsive;
-                    self.poller.set_patient(is_unresponsive);
+                    self.poller.set_slow_retry(is_unresponsive);
                     self.poller.refresh();
                 }
                 update = self.updates.recv() => return update,
--- a/crates/platform/src/poll.rs
+++ b/crates/platform/src/poll.rs
@@ -73,7 +73,7 @@
     /// shortly after each other then cost one call.
     pub gather_ms: u64,
     /// Delay after a failed call of a poller that is patient, in milliseconds.
-    pub patient_delay_ms: u64,
+    pub slow_retry_delay_ms: u64,
     /// Number of updates that wait for the consumer before the poller pauses.
     pub queue: usize,
 }
@@ -87,7 +87,7 @@
             // An eighth of the two seconds in which a change has to be in force.
             gather_ms: 250,
             // Only in case the sign of its return is missed; each call is paid for, also a refused one.
-            patient_delay_ms: 5_000,
+            slow_retry_delay_ms: 5_000,
             queue: 64,
         }
     }
@@ -116,7 +116,7 @@
 pub struct Poller {
     cancel: CancellationToken,
     refresh: Arc<Notify>,
-    is_patient: Arc<AtomicBool>,
+    retries_slowly: Arc<AtomicBool>,
     task: JoinHandle<()>,
 }
 
@@ -132,14 +132,14 @@
     ) -> (Self, mpsc::Receiver<PollUpdate<T>>) {
         let (updates, receiver) = mpsc::channel(settings.queue);
         let cancel = cancel.child_token();
-        let is_patient = Arc::new(AtomicBool::new(false));
+        let retries_slowly = Arc::new(AtomicBool::new(false));
         let follower = Follower {
             client,
             form,
             settings,
             updates,
             backoff: Backoff::new(settings.backoff),
-            is_patient: is_patient.clone(),
+            retries_slowly: retries_slowly.clone(),
             revision: None,
             is_available: true,
         };
@@ -150,7 +150,7 @@
             // A cancelled and a finished follower need nothing more.
             let _ = stop.run_until_cancelled(follower.run(&refreshed)).await;
         });
-        (Self { cancel, refresh, is_patient, task }, receiver)
+        (Self { cancel, refresh, retries_slowly, task }, receiver)
     }
 
     /// Breaks off the call in progress, or the wait after one, and lists again at once.
@@ -161,8 +161,8 @@
     /// Makes the poller wait long after a failed call, until it is refreshed, or ends that.
     ///
     /// Whoever knows that the platform does not answer says so, and refreshes on its return.
-    pub fn set_patient(&self, is_patient: bool) {
-        self.is_patient.store(is_patient, Ordering::Relaxed);
+    pub fn set_slow_retry(&self, retries_slowly: bool) {
+        self.retries_slowly.store(retries_slowly, Ordering::Relaxed);
     }
 
     /// Stops the poller and waits until it has closed its connection.
@@ -179,7 +179,7 @@
     settings: PollerSettings,
     updates: mpsc::Sender<PollUpdate<T>>,
     backoff: Backoff,
-    is_patient: Arc<AtomicBool>,
+    retries_slowly: Arc<AtomicBool>,
     /// Revision up to which every change was delivered; none before the first list.
     revision: Option<Revision>,
     is_available: bool,
@@ -282,8 +282,8 @@
             self.send(PollUpdate::Unavailable(error)).await?;
             self.is_available = false;
         }
-        let delay = match self.is_patient.load(Ordering::Relaxed) {
-            true => Duration::from_millis(self.settings.patient_delay_ms),
+        let delay = match self.retries_slowly.load(Ordering::Relaxed) {
+            true => Duration::from_millis(self.settings.slow_retry_delay_ms),
             false => self.backoff.fail(retry_after_ms, rand::random()),
         };
         tokio::time::sleep(delay).await;
