--- a/crates/entry/src/relay/feed.rs
+++ b/crates/entry/src/relay/feed.rs
@@ -11,7 +11,7 @@
     route_table::{Configuration, RouteTable},
     upstreams::{ListUpdate, UpstreamRecord},
 };
-use yuccatrail_platform::{Client, PollForm, PollUpdate, Poller, PollerSettings};
+use yuccatrail_platform::{Client, PollProtocol, PollUpdate, Poller, PollerSettings};
 
 use crate::relay::state::{Relay, RelistSignal};
 
@@ -27,7 +27,7 @@
     pub(crate) fn start(
         relay: &Relay,
         client: Client,
-        form: PollForm<T>,
+        form: PollProtocol<T>,
         stop: &CancellationToken,
     ) -> Self {
         let (poller, updates) = Poller::start(client, form, PollerSettings::default(), stop);
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -22,7 +22,9 @@
 pub use client::Client;
 pub use error::PlatformError;
 pub use object::{CURRENT, Kind, Object, ObjectList, ResourceVersion};
-pub use poll::{Changes, Decode, ListPage, PollForm, PollUpdate, Poller, PollerSettings, Revision};
+pub use poll::{
+    Changes, Decode, ListPage, PollProtocol, PollUpdate, Poller, PollerSettings, Revision,
+};
 pub use poll_watchdog::{CheckOutcome, PollWatchdog};
 pub use settings::{BudgetSettings, ClientSettings};
 pub use watch::{Watch, WatchEvent};
--- a/crates/platform/src/poll.rs
+++ b/crates/platform/src/poll.rs
@@ -48,7 +48,7 @@
 
 /// Paths and bodies of one kind.
 #[derive(Clone, Copy, Debug)]
-pub struct PollForm<T> {
+pub struct PollProtocol<T> {
     /// Name of the kind in logs.
     pub kind: &'static str,
     /// Returns the path of the list page that begins after a name.
@@ -126,7 +126,7 @@
     /// The poller stops when `cancel` is cancelled or the receiver is dropped.
     pub fn start<T: Send + 'static>(
         client: Client,
-        form: PollForm<T>,
+        form: PollProtocol<T>,
         settings: PollerSettings,
         cancel: &CancellationToken,
     ) -> (Self, mpsc::Receiver<PollUpdate<T>>) {
@@ -175,7 +175,7 @@
 
 struct Follower<T> {
     client: Client,
-    form: PollForm<T>,
+    form: PollProtocol<T>,
     settings: PollerSettings,
     updates: mpsc::Sender<PollUpdate<T>>,
     backoff: Backoff,
