--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -6,7 +6,7 @@
 use prometheus_client::{encoding::text, registry::Registry};
 use tokio::net::TcpListener;
 use tokio_util::sync::CancellationToken;
-use yuccatrail_runtime::http::{self, Body, METRICS_TEXT, respond};
+use yuccatrail_runtime::http::{self, Body, METRICS_CONTENT_TYPE, respond};
 
 /// What the endpoint shows.
 #[derive(Clone)]
@@ -37,7 +37,7 @@
 fn metrics(registry: &Registry) -> Response<Body> {
     let mut body = String::new();
     match text::encode(&mut body, registry) {
-        Ok(()) => respond(StatusCode::OK, METRICS_TEXT, body),
+        Ok(()) => respond(StatusCode::OK, METRICS_CONTENT_TYPE, body),
         Err(_) => respond(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "metrics failed\n"),
     }
 }
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -38,7 +38,7 @@
         .env("YUCCATRAIL_POOL")
         .help("Pool that the upstream belongs to")
         .argument::<String>("POOL")
-        .guard(settings::is_given, "pool must not be empty");
+        .guard(settings::is_not_empty, "pool must not be empty");
     let data_centre = settings::data_centre();
     let listen = settings::address(
         "listen",
--- a/crates/entry/src/caller/status.rs
+++ b/crates/entry/src/caller/status.rs
@@ -2,7 +2,7 @@
 
 use hyper::{Response, StatusCode};
 use serde_json::{Value, json};
-use yuccatrail_runtime::http::{Body, METRICS_TEXT, respond};
+use yuccatrail_runtime::http::{Body, METRICS_CONTENT_TYPE, respond};
 
 use crate::{entry::Entry, fleet::MemberStatus};
 
@@ -22,7 +22,7 @@
 /// Answers with all metrics.
 pub(crate) fn metrics(entry: &Entry) -> Response<Body> {
     match entry.metrics.encode() {
-        Some(body) => respond(StatusCode::OK, METRICS_TEXT, body),
+        Some(body) => respond(StatusCode::OK, METRICS_CONTENT_TYPE, body),
         None => respond(StatusCode::INTERNAL_SERVER_ERROR, "text/plain", "metrics failed\n"),
     }
 }
--- a/crates/entry/src/relay/server.rs
+++ b/crates/entry/src/relay/server.rs
@@ -14,7 +14,7 @@
 use tokio_util::sync::CancellationToken;
 use yuccatrail_runtime::{
     accept::accept,
-    http::{Body, METRICS_TEXT, respond},
+    http::{Body, METRICS_CONTENT_TYPE, respond},
 };
 
 use crate::relay::{pool::set_socket_options, request::handle_request, state::Relay};
@@ -65,5 +65,5 @@
 
 /// Serves the metrics.
 pub(crate) async fn handle_metrics(relay: Arc<Relay>, _: Request<Incoming>) -> Response<Body> {
-    respond(StatusCode::OK, METRICS_TEXT, relay.metrics.encode())
+    respond(StatusCode::OK, METRICS_CONTENT_TYPE, relay.metrics.encode())
 }
--- a/crates/entry/src/settings.rs
+++ b/crates/entry/src/settings.rs
@@ -42,7 +42,7 @@
         .env("YUCCATRAIL_ENVIRONMENT")
         .help("Environment whose configuration is served")
         .argument::<String>("NAME")
-        .guard(settings::is_given, "environment must not be empty")
+        .guard(settings::is_not_empty, "environment must not be empty")
         .fallback("production".to_owned());
     let stop_notice_ms = long("stop-notice-ms")
         .env("YUCCATRAIL_STOP_NOTICE_MS")
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -20,7 +20,7 @@
 const MAX_CONCURRENT_STREAMS: u32 = 1024;
 
 /// Content type of metrics in the OpenMetrics text format.
-pub const METRICS_TEXT: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
+pub const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
 /// Body of an answer, whole or streamed.
 pub type Body = UnsyncBoxBody<Bytes, Infallible>;
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -16,7 +16,7 @@
         .env("YUCCATRAIL_NAME")
         .help("Name of the instance in the platform's list")
         .argument::<String>("NAME")
-        .guard(is_given, "name must not be empty")
+        .guard(is_not_empty, "name must not be empty")
 }
 
 /// Parses the data centre of the instance.
@@ -25,7 +25,7 @@
         .env("YUCCATRAIL_DATA_CENTRE")
         .help("Data centre that the instance stands in")
         .argument::<String>("NAME")
-        .guard(is_given, "data-centre must not be empty")
+        .guard(is_not_empty, "data-centre must not be empty")
 }
 
 /// Parses an address from a flag and its environment variable.
@@ -69,6 +69,6 @@
 
 /// Tells whether a text setting is given.
 #[allow(clippy::ptr_arg)] // a parser's guard passes the parsed type
-pub fn is_given(text: &String) -> bool {
+pub fn is_not_empty(text: &String) -> bool {
     !text.is_empty()
 }
