--- a/crates/agent/src/executor.rs
+++ b/crates/agent/src/executor.rs
@@ -122,7 +122,7 @@
         let now_ms = self.clock.now_ms();
         let is_changed = !request.update.is_empty();
         self.control.adopt(request.update, "entry");
-        let again;
+        let sync_again;
         {
             let mut state = self.lock();
             if is_changed {
@@ -138,7 +138,7 @@
             {
                 state.core.confirm_control(sent_ms, age_ms);
             }
-            again = state.core.should_sync_again(!holds_all, now_ms);
+            sync_again = state.core.should_sync_again(!holds_all, now_ms);
             self.wake(&mut state);
         }
         self.start_ready();
@@ -147,7 +147,7 @@
             feedback: self.feedback(),
             update: self.control.update_for(request.versions),
             ages: self.ages(),
-            again,
+            sync_again,
         }
     }
 
--- a/crates/entry/src/gossip.rs
+++ b/crates/entry/src/gossip.rs
@@ -149,7 +149,7 @@
             },
             update: entry.control.update_for(request.versions),
             ages: entry.control.ages(now_ms),
-            again: false,
+            sync_again: false,
         }
     }
 }
--- a/crates/entry/src/link.rs
+++ b/crates/entry/src/link.rs
@@ -146,7 +146,7 @@
         let request = self.sync_request(known_versions, sent_ms);
         let reply = client.sync(context_for(HEARTBEAT_TIMEOUT), request).await.ok()?;
         let follow_up =
-            SyncFollowUp { again: reply.again, agent_versions: reply.feedback.versions };
+            SyncFollowUp { again: reply.sync_again, agent_versions: reply.feedback.versions };
         self.apply_sync_reply(client, reply, sent_ms);
         Some(follow_up)
     }
--- a/crates/entry/src/relay/peers.rs
+++ b/crates/entry/src/relay/peers.rs
@@ -106,7 +106,7 @@
 
     /// Tells whether a service has a backlog at its owner; none if this entry is the owner.
     pub(crate) fn has_backlog_at_owner(&self, relay: &Relay, service: &str) -> Option<bool> {
-        Some(self.queue_at_owner(relay, service)?.is_some_and(|it| it.is_pressed))
+        Some(self.queue_at_owner(relay, service)?.is_some_and(|it| it.has_backlog))
     }
 
     /// Returns the queue state that the owner of a service last reported, if any; none if this
--- a/crates/entry/src/relay/stages.rs
+++ b/crates/entry/src/relay/stages.rs
@@ -150,7 +150,7 @@
             states.push(QueueState {
                 service: service.to_string(),
                 wait_ms: wait_ms as u64,
-                is_pressed: self.has_local_backlog(&service),
+                has_backlog: self.has_local_backlog(&service),
             });
         }
         states
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -199,7 +199,7 @@
             update: ControlUpdate::default(),
             ages: Ages::default(),
             lacks_instances: false,
-            again: false,
+            sync_again: false,
         }
     }
 }
--- a/crates/rpc/src/entries.rs
+++ b/crates/rpc/src/entries.rs
@@ -44,7 +44,8 @@
     /// Expected time until one more piece would be made, in milliseconds.
     pub wait_ms: u64,
     /// Whether more pieces wait than one call takes.
-    pub is_pressed: bool,
+    #[serde(rename = "is_pressed")]
+    pub has_backlog: bool,
 }
 
 /// Asks the owner of a stage service for all pieces of one stage.
--- a/crates/rpc/src/messages.rs
+++ b/crates/rpc/src/messages.rs
@@ -66,7 +66,8 @@
     pub lacks_instances: bool,
     /// Whether the answering process asks for another exchange at once, with the state that it
     /// lacks, because it has seen newer versions or needs a confirmation.
-    pub again: bool,
+    #[serde(rename = "again")]
+    pub sync_again: bool,
 }
 
 /// State of an answering process, which every reply carries.
