--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -11,8 +11,8 @@
 mod error;
 mod object;
 mod poll;
+mod poll_watchdog;
 mod settings;
-mod suspicion;
 mod watch;
 mod watcher;
 mod wire;
@@ -22,9 +22,11 @@
 pub use client::Client;
 pub use error::PlatformError;
 pub use object::{CURRENT, Kind, Object, ObjectList, ResourceVersion};
-pub use poll::{Changes, Decode, ListPage, PollForm, PollUpdate, Poller, PollerSettings, Revision};
+pub use poll::{
+    Changes, Decode, ListPage, PollProtocol, PollUpdate, Poller, PollerSettings, Revision,
+};
+pub use poll_watchdog::{CheckOutcome, PollWatchdog};
 pub use settings::{BudgetSettings, ClientSettings};
-pub use suspicion::{CheckOutcome, PollSuspicion};
 pub use watch::{Watch, WatchEvent};
 pub use watcher::{WatchUpdate, Watcher, WatcherSettings};
 pub use wire::{API_VERSION, MAX_VALUE_BYTES};
