--- a/crates/rpc/src/entries.rs
+++ b/crates/rpc/src/entries.rs
@@ -1,4 +1,4 @@
-//! Calls among entries that share the work of stage services.
+//! RPC service by which entries share the work of stage services among themselves.
 
 use std::{net::SocketAddr, sync::Arc};
 
@@ -10,76 +10,78 @@
     upstreams::{ListRevisions, PlatformLists},
 };
 
-/// An entry and where others reach it.
+/// Name, address and capacity of an entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct EntryAddress {
     /// Name of the entry.
     pub name: String,
-    /// Address on which other entries reach it.
+    /// Address on which the entry accepts calls of other entries.
     pub peer_address: SocketAddr,
-    /// Part of a core that it may use.
+    /// CPU limit of the entry, in cores.
     pub cpu_share: f64,
 }
 
-/// State of an entry.
+/// Response to [`EntryPeer::hello`]: the state of the responding entry.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct HelloReply {
-    /// Whether the entry takes work: it knows what it has to know and does not stop.
+    /// Whether the entry accepts work: it has the state that it needs and is not shutting down.
     pub takes_work: bool,
-    /// Version of the configuration in force; none before the first.
+    /// Version of the active configuration; `None` until the entry has received one.
     pub config_version: Option<u64>,
-    /// Revisions of the platform's lists; none unless the entry follows the platform now.
+    /// Revisions of the platform's lists; `None` unless the entry currently receives the platform's
+    /// updates.
     pub list_revisions: Option<ListRevisions>,
-    /// Queues of the stage services.
+    /// Queues of the stage services that the entry owns.
     pub queues: Vec<QueueState>,
-    /// Strikes against requests that crash upstreams.
+    /// Strikes against requests during which an upstream crashed.
     pub strikes: Vec<Strike>,
 }
 
-/// State of the queue of one stage service.
+/// Queue of one stage service.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct QueueState {
     /// Name of the service.
     pub service: String,
-    /// Expected time until one more piece would be made, in milliseconds.
+    /// Expected time until a piece that is queued now would be completed, in milliseconds.
     pub wait_ms: u64,
-    /// Whether more pieces wait than one call takes.
+    /// Whether more pieces are queued than fit in one call.
     #[serde(rename = "is_pressed")]
     pub has_backlog: bool,
 }
 
-/// Asks the owner of a stage service for all pieces of one stage.
+/// Asks the owner of a stage service to run all pieces of one stage of a request.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StageRequest {
     /// Name of the service.
     pub service: String,
-    /// The work; its times count from the sending of the request.
+    /// The pieces to run; times in it are relative to the moment at which the request is sent.
     pub work: StageWork,
 }
 
-/// How the work of a stage ended.
+/// Outcome of a [`StageRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct StageReply {
-    /// The end.
+    /// Whether all pieces were completed, or why not.
     pub end: GroupOutcome,
-    /// Results in the order of the pieces.
+    /// Handles of the results, in the order of the pieces.
     pub handles: Vec<String>,
 }
 
-/// Calls that an entry answers to another.
+/// Calls that an entry accepts from other entries.
 #[tarpc::service]
 pub trait EntryPeer {
-    /// Tells whether the entry takes work; `from` is the entry that asks, `strikes` are those that it
-    /// knows.
+    /// Returns the state of the entry; `from` is the calling entry and `strikes` are those that it
+    /// knows of.
     async fn hello(from: EntryAddress, strikes: Vec<Strike>) -> HelloReply;
-    /// Returns the entries that this one knows.
+    /// Returns the entries that this entry knows of.
     async fn entries() -> Vec<EntryAddress>;
-    /// Returns the configuration in force; none before the first.
+    /// Returns the active configuration; `None` until the entry has received one.
     async fn configuration() -> Option<Arc<Configuration>>;
-    /// Returns what the entry knows from the platform; none unless it follows the platform now.
+    /// Returns the platform's lists as the entry knows them; `None` unless it currently receives the
+    /// platform's updates.
     async fn beliefs() -> Option<PlatformLists>;
-    /// Makes all pieces of one stage.
+    /// Runs all pieces of one stage and returns when the stage has ended.
     async fn run_stage(request: StageRequest) -> StageReply;
-    /// Releases results that nobody needs any more.
+    /// Releases results that are no longer needed.
     async fn release(handles: Vec<String>);
 }
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,4 +1,4 @@
-//! Typed messages between entries and agents: tarpc services over WebSocket with CBOR frames.
+//! RPC between entries and agents: tarpc services whose messages are CBOR in WebSocket frames.
 
 pub mod entries;
 pub mod messages;
--- a/crates/rpc/src/messages.rs
+++ b/crates/rpc/src/messages.rs
@@ -1,4 +1,4 @@
-//! Messages that entries and agents exchange.
+//! Requests and replies between entries and agents.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -14,28 +14,28 @@
     routing::LoadReport,
 };
 
-/// Asks a peer for newer control state and tells it what the sender holds.
+/// Announces the control state that the sender holds and asks the receiver for newer state.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SyncRequest {
-    /// Process that asks.
+    /// Incarnation of the sending process.
     pub from: Incarnation,
-    /// Versions that the sender holds.
+    /// Versions of the control state that the sender holds.
     pub versions: Versions,
-    /// Newer state that the receiver is known to lack.
+    /// Newer control state that the receiver lacks, as far as the sender knows.
     pub update: ControlUpdate,
-    /// Age of the sender's control state.
+    /// Ages of the sender's control state.
     pub ages: Ages,
-    /// The receiver's last reply, after which this request was made.
+    /// The receiver's last reply before this request was created, if there was one.
     pub echo: Option<Echo>,
-    /// Strikes against requests that the receiver may not know yet.
+    /// Strikes against requests that the receiver may not know of yet.
     pub strikes: Vec<Strike>,
     /// Whether the sender's instance list shows the receiver's upstream as leaving.
     pub is_listed_leaving: bool,
-    /// Instance list, for an entry that has said that it lacks one.
+    /// Instance list, if the receiver is an entry that reported that it lacks one.
     pub instances: Vec<InstanceRecord>,
 }
 
-/// Upper bounds on the age of a process's control state; none where it was never confirmed.
+/// Upper bounds on the age of a process's control state; `None` if it was never confirmed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Ages {
     /// Age of the environment document, in milliseconds.
@@ -44,154 +44,159 @@
     pub operations_ms: Option<u64>,
 }
 
-/// Names the reply that a request follows, so that the receiver can tell how old the request is.
+/// Identifies the receiver's last reply before a request, so that the receiver can bound the age of
+/// the request by its own clock.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Echo {
-    /// The run of the process that replied.
+    /// Incarnation of the process that replied.
     pub incarnation: Incarnation,
-    /// Time of the reply on that process's clock, in milliseconds since its start.
+    /// Time of the reply by the clock of that process, in milliseconds since its start.
     pub now_ms: u64,
 }
 
-/// Answers a [`SyncRequest`].
+/// Reply to a [`SyncRequest`].
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SyncReply {
-    /// State of the answering process.
+    /// State of the replying process.
     pub feedback: Feedback,
-    /// Newer state that the sender lacked.
+    /// Newer control state that the sender of the request lacks.
     pub update: ControlUpdate,
-    /// Age of the answering process's control state.
+    /// Ages of the replying process's control state.
     pub ages: Ages,
-    /// Whether the sender is an entry without an instance list from the platform.
+    /// Whether the replying process is an entry that has no instance list from the platform.
     pub lacks_instances: bool,
-    /// Whether the answering process asks for another exchange at once, with the state that it
+    /// Whether the replying process asks for another exchange immediately, with the state that it
     /// lacks, because it has seen newer versions or needs a confirmation.
     #[serde(rename = "again")]
     pub sync_again: bool,
 }
 
-/// State of an answering process, which every reply carries.
+/// State of the replying process, which is part of every reply.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct Feedback {
-    /// The run of the process that answers.
+    /// Incarnation of the replying process.
     pub incarnation: Incarnation,
-    /// Monotonic clock of the process that answers, in milliseconds since its start.
+    /// Time of the reply by the monotonic clock of the replying process, in milliseconds since its
+    /// start.
     pub now_ms: u64,
-    /// Versions of the control state that the process holds.
+    /// Versions of the control state that the replying process holds.
     pub versions: Versions,
-    /// Load of the upstream.
+    /// Load of the agent's upstream.
     pub load: LoadReport,
-    /// Recent strikes against requests.
+    /// Recent strikes against requests that the replying process knows of.
     pub strikes: Vec<Strike>,
 }
 
 /// Asks an agent to run one attempt on its upstream.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct SubmitRequest {
-    /// Versions that the entry holds.
+    /// Versions of the control state that the entry holds.
     pub versions: Versions,
-    /// Identity of the attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// The run of the agent that the entry chose; another run refuses the attempt.
+    /// Incarnation of the agent that the entry chose; another incarnation refuses the attempt.
     pub agent: Incarnation,
-    /// Pool that the entry expects the upstream to belong to.
+    /// Pool that the upstream belongs to, as far as the entry knows.
     pub pool: String,
     /// Customer on whose behalf the call is made.
     pub customer: String,
     /// Digest of the customer, target and body of the request.
     pub fingerprint: Digest,
-    /// Strikes against the request that the entry knows; with any, the request has to run alone.
+    /// Strikes against the request that the entry knows of; if there are any, the request has to run
+    /// alone.
     pub strikes: Vec<Strike>,
-    /// Whether the call may be repeated, and so be cut when it is cancelled.
+    /// Whether the call is idempotent, so that it may be aborted when the attempt is cancelled.
     pub idempotent: bool,
-    /// Latest time of dispatch on the agent's clock, in milliseconds since its start.
+    /// Latest time of dispatch to the upstream by the agent's clock, in milliseconds since the
+    /// agent's start.
     pub dispatch_by_ms: u64,
-    /// End of the request's deadline on the agent's clock, in milliseconds since its start.
+    /// Deadline of the request by the agent's clock, in milliseconds since the agent's start.
     pub deadline_ms: u64,
-    /// Expected run time at the upstream, in milliseconds.
+    /// Expected run time of the call at the upstream, in milliseconds.
     pub estimate_ms: u64,
-    /// The HTTP call for the upstream.
+    /// HTTP request to the upstream.
     pub call: UpstreamCall,
-    /// Time for which the agent may hold the reply while it waits for output, in milliseconds.
+    /// Longest time for which the agent delays the reply while there is no output, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// HTTP call that an agent makes to its upstream.
+/// HTTP request that an agent sends to its upstream.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct UpstreamCall {
     /// HTTP method.
     pub method: String,
-    /// Path with query.
+    /// Path and query.
     pub path: String,
-    /// Content type of the body, if there is one.
+    /// `Content-Type` of the body, if the caller stated one.
     pub content_type: Option<String>,
-    /// Key that the upstream may use to recognize a repeated call.
+    /// Value of the `idempotency-key` header, by which the upstream may recognise a repeated call.
     pub idempotency_key: Option<String>,
-    /// Body of the call.
+    /// Request body.
     pub body: Bytes,
-    /// Form of the expected answer.
+    /// Form of the expected response.
     pub response: ResponseForm,
 }
 
-/// Form of an upstream's answer.
+/// Form of an upstream's response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ResponseForm {
-    /// One body, delivered whole as a single chunk.
+    /// A complete body, delivered as a single chunk.
     Whole,
-    /// Server-sent events that end with `[DONE]`; each event's data is a chunk.
+    /// Server-sent events that end with `[DONE]`; the data of each event is one chunk.
     Events,
 }
 
-/// Answers a submit, read or cancel call.
+/// Reply to a submit, read or cancel call.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct AttemptReply {
     /// State of the agent.
     pub feedback: Feedback,
-    /// Control state that the entry lacked.
+    /// Control state that the entry lacks; empty unless the entry's state is stale.
     pub update: ControlUpdate,
-    /// The attempt that the reply describes.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// What the agent knows about the attempt.
+    /// State of the attempt.
     pub state: AttemptState,
 }
 
-/// What an agent knows about an attempt.
+/// State of an attempt as far as the agent knows it.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum AttemptState {
-    /// The attempt was accepted; output from the requested sequence number on.
+    /// The attempt was accepted; contains the output from the requested sequence number on.
     Accepted(OutputPage),
-    /// The attempt was not passed to the upstream and never will be.
+    /// The attempt was not dispatched to the upstream and never will be.
     NotRun(Refusal),
-    /// The entry holds older control state than the agent and has to take the update first.
+    /// The entry and the agent hold different versions of the control state. The entry has to apply
+    /// the update of this reply, or send its own newer state, before it submits again.
     StaleVersions,
-    /// The agent has no record of the attempt and cannot tell whether it ran.
+    /// The agent has no record of the attempt, so that it is not known whether it ran.
     Unknown,
 }
 
-/// Asks for an attempt's output.
+/// Asks for the output of an attempt.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct ReadRequest {
-    /// Versions that the entry holds.
+    /// Versions of the control state that the entry holds.
     pub versions: Versions,
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// The run of the agent that accepted the attempt.
+    /// Incarnation of the agent that accepted the attempt.
     pub agent: Incarnation,
     /// Sequence number of the first chunk that the entry lacks.
     pub from_sequence: u64,
-    /// Time for which the agent may hold the reply while it waits for output, in milliseconds.
+    /// Longest time for which the agent delays the reply while there is no output, in milliseconds.
     pub wait_ms: u64,
 }
 
-/// Cancels an attempt; one that was not dispatched is then never dispatched.
+/// Cancels an attempt; an attempt that is not dispatched yet never will be.
 #[derive(Clone, Debug, Serialize, Deserialize)]
 pub struct CancelRequest {
-    /// Versions that the entry holds.
+    /// Versions of the control state that the entry holds.
     pub versions: Versions,
-    /// The attempt.
+    /// Identifier of the attempt.
     pub attempt: AttemptId,
-    /// The run of the agent that was handed the attempt.
+    /// Incarnation of the agent that the attempt was submitted to.
     pub agent: Incarnation,
-    /// Latest time of dispatch, exactly as the submit for the attempt states it.
+    /// Latest time of dispatch, with the same value as in the [`SubmitRequest`] of the attempt.
     pub dispatch_by_ms: u64,
 }
--- a/crates/rpc/src/transport.rs
+++ b/crates/rpc/src/transport.rs
@@ -1,4 +1,4 @@
-//! tarpc transport that carries CBOR messages in binary WebSocket frames.
+//! tarpc transport that encodes each message as CBOR in a binary WebSocket message.
 
 use std::{io, net::SocketAddr};
 
@@ -11,19 +11,19 @@
     tungstenite::{self, Message},
 };
 
-/// Largest message in bytes; it covers a whole environment document and a whole request body.
+/// Largest message, in bytes; an environment document or a request body has to fit in one message.
 pub const MAX_MESSAGE_BYTES: usize = 8 * 1024 * 1024;
 
-/// Why a transport failed.
+/// Error of a transport.
 #[derive(Debug, Display, Error, From)]
 pub enum TransportError {
-    /// The connection could not be opened.
+    /// The TCP connection could not be opened.
     #[display("cannot connect: {_0}")]
     Connect(io::Error),
-    /// The connection was not opened in time.
+    /// The connection attempt timed out.
     #[display("connecting timed out")]
     TimedOut,
-    /// The WebSocket layer failed.
+    /// The WebSocket handshake or connection failed.
     #[display("WebSocket: {_0}")]
     WebSocket(tungstenite::Error),
     /// A message could not be encoded.
@@ -34,7 +34,7 @@
     Decode(ciborium::de::Error<io::Error>),
 }
 
-/// Opens a client connection to `address`.
+/// Opens a connection to `address` and performs the client side of the WebSocket handshake.
 ///
 /// # Errors
 ///
@@ -53,11 +53,11 @@
     stream.set_nodelay(true)?;
     let url = format!("ws://{address}/");
     let (socket, _) =
-        tokio_tungstenite::client_async_with_config(url, stream, Some(config())).await?;
-    Ok(typed(socket))
+        tokio_tungstenite::client_async_with_config(url, stream, Some(websocket_config())).await?;
+    Ok(into_transport(socket))
 }
 
-/// Completes the server side of the handshake on an accepted connection.
+/// Performs the server side of the WebSocket handshake on an accepted connection.
 ///
 /// # Errors
 ///
@@ -73,17 +73,18 @@
     In: DeserializeOwned,
 {
     stream.set_nodelay(true)?;
-    let socket = tokio_tungstenite::accept_async_with_config(stream, Some(config())).await?;
-    Ok(typed(socket))
+    let socket =
+        tokio_tungstenite::accept_async_with_config(stream, Some(websocket_config())).await?;
+    Ok(into_transport(socket))
 }
 
-fn config() -> tungstenite::protocol::WebSocketConfig {
+fn websocket_config() -> tungstenite::protocol::WebSocketConfig {
     tungstenite::protocol::WebSocketConfig::default()
         .max_message_size(Some(MAX_MESSAGE_BYTES))
         .max_frame_size(Some(MAX_MESSAGE_BYTES))
 }
 
-fn typed<Out, In>(
+fn into_transport<Out, In>(
     socket: WebSocketStream<TcpStream>,
 ) -> impl Stream<Item = Result<In, TransportError>> + Sink<Out, Error = TransportError>
 where
