--- a/crates/runtime/src/accept.rs
+++ b/crates/runtime/src/accept.rs
@@ -1,11 +1,12 @@
-//! Loop that accepts TCP connections.
+//! Accept loop of the TCP servers.
 
 use std::time::Duration;
 
 use tokio::net::{TcpListener, TcpStream};
 use tokio_util::sync::CancellationToken;
 
-/// Pause after a failed accept; it fails when file descriptors run out, and waiting lets some close.
+/// Delay after a failed accept, for example because the process has run out of file descriptors;
+/// some may be closed meanwhile.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
 /// Passes each accepted connection to `handle` until `stop` is cancelled.
--- a/crates/runtime/src/clock.rs
+++ b/crates/runtime/src/clock.rs
@@ -1,15 +1,15 @@
-//! Monotonic clock that counts milliseconds since its creation.
+//! Monotonic clock of the process.
 
 use std::time::{Duration, Instant};
 
-/// Monotonic clock of one process.
+/// Monotonic clock in milliseconds since its creation.
 #[derive(Clone, Copy, Debug)]
 pub struct Clock {
     start: Instant,
 }
 
 impl Clock {
-    /// Starts a clock at zero.
+    /// Creates a clock that shows zero now.
     pub fn new() -> Self {
         Self { start: Instant::now() }
     }
--- a/crates/runtime/src/control.rs
+++ b/crates/runtime/src/control.rs
@@ -1,4 +1,4 @@
-//! The process's one copy of the control state, shared by its tasks.
+//! Control state of the process, shared by its tasks.
 
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
@@ -12,7 +12,7 @@
 };
 use yuccatrail_rpc::messages::Ages;
 
-/// Control state with notification of changes.
+/// Shared control state that notifies its subscribers of changes and tracks its age.
 #[derive(Debug)]
 pub struct SharedControl {
     state: Mutex<ControlState>,
@@ -22,7 +22,7 @@
 }
 
 impl SharedControl {
-    /// Creates the state of a process that has just started and holds nothing.
+    /// Creates the state of a process that has just started and holds no control state.
     pub fn new() -> Self {
         let (changed, _) = watch::channel(Versions::default());
         Self {
@@ -33,31 +33,32 @@
         }
     }
 
-    /// Returns the versions that the process holds.
+    /// Returns the versions of the control state that the process holds.
     pub fn versions(&self) -> Versions {
         self.lock().versions()
     }
 
-    /// Returns the document to serve by.
+    /// Returns the environment document that requests are served by.
     ///
     /// # Errors
     ///
-    /// Returns the reason to refuse every request while the process lacks a part of the state.
+    /// Returns the reason for which all requests are refused while a part of the control state is
+    /// missing.
     pub fn serving_document(&self) -> Result<Arc<Document>, Reason> {
         self.lock().serving_document().cloned()
     }
 
-    /// Returns the operational state in force.
+    /// Returns the current operational state; `None` until the process has received one.
     pub fn operations(&self) -> Option<Arc<OperationsRecord>> {
         self.lock().operations().cloned()
     }
 
-    /// Collects what a peer that holds `versions` lacks.
+    /// Returns the control state that is newer than `versions`, which a peer holds.
     pub fn update_for(&self, versions: Versions) -> ControlUpdate {
         self.lock().update_for(versions)
     }
 
-    /// Takes over what is newer in `update`; `source` names the sender in the log.
+    /// Adopts the parts of `update` that are newer; `source` names the sender in the log.
     pub fn adopt(&self, update: ControlUpdate, source: &str) {
         if update.is_empty() {
             return;
@@ -66,16 +67,16 @@
         let adopted = state.adopt(update);
         let versions = state.versions();
         drop(state);
-        report("config", &adopted.config, source);
-        report("operations", &adopted.operations, source);
+        log_adoption("config", &adopted.config, source);
+        log_adoption("operations", &adopted.operations, source);
         if adopted.is_changed() {
             self.changed.send_replace(versions);
         }
     }
 
-    /// Notes an answer to a question that was sent at `sent_ms`, with the ages that it states.
+    /// Records the ages in a reply to a request that was sent at `sent_ms`.
     ///
-    /// The process has to hold everything that the answering side holds.
+    /// The process has to hold everything that the sender of the reply holds.
     pub fn confirm(&self, sent_ms: u64, ages: Ages) {
         if let Some(age_ms) = ages.config_ms {
             lock(&self.config_freshness).confirm(sent_ms, age_ms);
@@ -85,7 +86,7 @@
         }
     }
 
-    /// Returns the ages of the control state.
+    /// Returns upper bounds on the age of the control state.
     pub fn ages(&self, now_ms: u64) -> Ages {
         Ages {
             config_ms: lock(&self.config_freshness).age_ms(now_ms),
@@ -93,12 +94,12 @@
         }
     }
 
-    /// Passes the state to `read`, which must not block.
+    /// Calls `read` with the state, which is locked meanwhile; `read` must not block.
     pub fn with<T>(&self, read: impl FnOnce(&ControlState) -> T) -> T {
         read(&self.lock())
     }
 
-    /// Returns a receiver that is notified of each change.
+    /// Returns a receiver that is notified when the versions change.
     pub fn subscribe(&self) -> watch::Receiver<Versions> {
         self.changed.subscribe()
     }
@@ -122,12 +123,12 @@
     }
 }
 
-fn report(part: &str, adoption: &Adoption, source: &str) {
+fn log_adoption(part: &str, adoption: &Adoption, source: &str) {
     if adoption.is_error() {
-        error!(part = part, source = source; "control state refused: {adoption:?}");
+        error!(part = part, source = source; "control state rejected: {adoption:?}");
         return;
     }
     if let Adoption::Adopted { version } = adoption {
-        info!(part = part, version = version, source = source; "control state in force");
+        info!(part = part, version = version, source = source; "control state adopted");
     }
 }
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -1,4 +1,4 @@
-//! HTTP server loop shared by the binaries.
+//! HTTP server and response helpers shared by the binaries.
 
 use std::{convert::Infallible, future::Future, time::Duration};
 
@@ -14,23 +14,23 @@
 
 use crate::accept::accept;
 
-/// Time in which a caller has to send the head of a request.
+/// Longest time in which a client has to send the head of a request.
 const HEADER_READ_TIMEOUT: Duration = Duration::from_secs(10);
 /// Largest number of concurrent HTTP/2 streams on one connection.
 const MAX_CONCURRENT_STREAMS: u32 = 1024;
 
-/// Content type of metrics in the OpenMetrics text format.
+/// `Content-Type` of metrics in the OpenMetrics text format.
 pub const METRICS_CONTENT_TYPE: &str = "application/openmetrics-text; version=1.0.0; charset=utf-8";
 
-/// Body of an answer, whole or streamed.
+/// Response body, either complete or streamed.
 pub type Body = UnsyncBoxBody<Bytes, Infallible>;
 
-/// Wraps bytes into a body.
+/// Creates a complete body from bytes.
 pub fn full(bytes: impl Into<Bytes>) -> Body {
     Full::new(bytes.into()).boxed_unsync()
 }
 
-/// Builds an answer with a status, a content type and a whole body.
+/// Creates a response with a complete body.
 pub fn respond(
     status: StatusCode,
     content_type: &'static str,
@@ -44,7 +44,7 @@
     response
 }
 
-/// Serves HTTP/1.1 and HTTP/2 until `stop` is cancelled, then finishes the requests in progress.
+/// Serves HTTP/1.1 and HTTP/2 until `stop` is cancelled, then waits for the requests in flight.
 pub async fn serve<F, Fut>(listener: TcpListener, stop: CancellationToken, handler: F)
 where
     F: Fn(Request<Incoming>) -> Fut + Clone + Send + 'static,
@@ -52,12 +52,12 @@
 {
     let graceful = GracefulShutdown::new();
     accept(&listener, &stop, |stream| {
-        // Without this option small answers wait for the peer's delayed acknowledgement.
+        // With Nagle's algorithm, small responses would wait for the peer's delayed acknowledgement.
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
         let service = service_fn(move |request| {
-            let answer = handler(request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handler(request);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let mut builder = auto::Builder::new(TokioExecutor::new());
         builder.http1().timer(TokioTimer::new()).header_read_timeout(HEADER_READ_TIMEOUT);
@@ -65,7 +65,7 @@
         let connection = builder.serve_connection(TokioIo::new(stream), service).into_owned();
         let connection = graceful.watch(connection);
         tokio::spawn(async move {
-            // A connection that breaks concerns its caller alone.
+            // A broken connection affects only its client.
             let _ = connection.await;
         });
     })
--- a/crates/runtime/src/lib.rs
+++ b/crates/runtime/src/lib.rs
@@ -1,4 +1,5 @@
-//! Process plumbing shared by the binaries: JSON logs, signals, clock and metrics endpoint.
+//! Infrastructure shared by the binaries: JSON logs, signals, clock, control state, HTTP server and
+//! common settings.
 
 pub mod accept;
 pub mod clock;
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -1,7 +1,7 @@
-//! Logs as JSON lines on standard output.
+//! Logger that writes JSON lines to standard output.
 //!
-//! A caller never waits for the output: lines go into a bounded buffer that a thread of its own
-//! empties. Under load, lines beyond the budget of a second are left out and counted.
+//! Logging never blocks on the output: lines are appended to a bounded buffer, which a separate
+//! thread writes out. Lines that exceed the rate limit or the buffer are dropped and counted.
 
 use std::{
     io::{self, Write},
@@ -19,19 +19,21 @@
 use simplelog::{CombinedLogger, Config, SharedLogger};
 use time::{OffsetDateTime, format_description::well_known::Rfc3339};
 
-/// Time between two writes of the buffer; a shorter one costs a small instance wake-ups.
+/// Interval at which the buffer is written out; a shorter one costs more wake-ups, which matter on a
+/// small instance.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
-/// Lines a second below the level of warnings; twice the requests a second of one entry today.
+/// Rate limit for lines less severe than warnings, in lines per second; twice the request rate that
+/// one entry has today.
 const INFO_LINES_PER_S: u32 = 200;
-/// Lines a second in all.
+/// Rate limit for lines of all levels together, in lines per second.
 const LINES_PER_S: u32 = 400;
-/// Largest size of the buffer, in bytes; holds the lines of some seconds.
+/// Maximum size of the buffer, in bytes; enough for the lines of several seconds.
 const MAX_BUFFER_BYTES: usize = 512 * 1024;
 
-/// Libraries that log each of their calls at the level of decisions.
-const LIBRARIES: [&str; 1] = ["tarpc"];
+/// Libraries that log each call at info level; only their warnings and errors are logged.
+const VERBOSE_LIBRARIES: [&str; 1] = ["tarpc"];
 
-/// Logging was set up before in this process.
+/// Error when a logger is already installed in this process.
 #[derive(Clone, Copy, Debug, Display, Error, PartialEq, Eq)]
 #[display("the logger is already installed")]
 pub struct AlreadyInstalled;
@@ -42,51 +44,51 @@
 ///
 /// Returns an error when a logger is already installed.
 pub fn install(level: LevelFilter) -> Result<(), AlreadyInstalled> {
-    let lines = Arc::new(Mutex::new(Lines::new(Instant::now())));
+    let lines = Arc::new(Mutex::new(LineBuffer::new(Instant::now())));
     let logger = Box::new(JsonLogger { level, lines: lines.clone() });
     CombinedLogger::init(vec![logger]).map_err(|_| AlreadyInstalled)?;
     let writer = thread::Builder::new().name("log".to_owned());
     let spawned = writer.spawn(move || {
         loop {
             thread::sleep(WRITE_INTERVAL);
-            write_out(&lines);
+            write_buffer(&lines);
         }
     });
     if let Err(error) = spawned {
-        eprintln!("cannot start the thread that writes logs: {error}");
+        eprintln!("cannot start the log writer thread: {error}");
     }
     Ok(())
 }
 
-/// Lines that wait for the output, and the budget of the current second.
+/// Lines that are not written yet, and the numbers of lines in the current second.
 #[derive(Debug)]
-struct Lines {
+struct LineBuffer {
     buffer: Vec<u8>,
-    second: Instant,
+    second_start: Instant,
     info_lines: u32,
     lines: u32,
-    left_out: u64,
+    dropped: u64,
 }
 
-impl Lines {
+impl LineBuffer {
     fn new(now: Instant) -> Self {
-        Self { buffer: Vec::new(), second: now, info_lines: 0, lines: 0, left_out: 0 }
+        Self { buffer: Vec::new(), second_start: now, info_lines: 0, lines: 0, dropped: 0 }
     }
 
-    /// Takes in a line if the budget and the buffer have room.
+    /// Appends a line unless a rate limit is reached or the buffer is full.
     fn push(&mut self, level: Level, line: impl FnOnce() -> Vec<u8>, now: Instant) {
-        if now.duration_since(self.second) >= Duration::from_secs(1) {
-            self.second = now;
+        if now.duration_since(self.second_start) >= Duration::from_secs(1) {
+            self.second_start = now;
             self.info_lines = 0;
             self.lines = 0;
-            self.report_left_out();
+            self.report_dropped();
         }
         let is_info = level > Level::Warn;
         if self.lines >= LINES_PER_S
             || (is_info && self.info_lines >= INFO_LINES_PER_S)
             || self.buffer.len() >= MAX_BUFFER_BYTES
         {
-            self.left_out += 1;
+            self.dropped += 1;
             return;
         }
         self.lines += 1;
@@ -95,47 +97,47 @@
         self.buffer.push(b'\n');
     }
 
-    fn report_left_out(&mut self) {
-        if self.left_out == 0 || self.buffer.len() >= MAX_BUFFER_BYTES {
+    fn report_dropped(&mut self) {
+        if self.dropped == 0 || self.buffer.len() >= MAX_BUFFER_BYTES {
             return;
         }
         let line = json!({
             "time": timestamp(),
             "level": "warn",
-            "message": "log lines left out",
-            "lines": self.left_out,
+            "message": "log lines dropped",
+            "lines": self.dropped,
         });
-        self.left_out = 0;
+        self.dropped = 0;
         self.buffer.extend(line.to_string().into_bytes());
         self.buffer.push(b'\n');
     }
 }
 
-fn lock(lines: &Mutex<Lines>) -> MutexGuard<'_, Lines> {
+fn lock(lines: &Mutex<LineBuffer>) -> MutexGuard<'_, LineBuffer> {
     lines.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-fn write_out(lines: &Mutex<Lines>) {
+fn write_buffer(lines: &Mutex<LineBuffer>) {
     let buffer = std::mem::take(&mut lock(lines).buffer);
     if buffer.is_empty() {
         return;
     }
     let mut output = io::stdout().lock();
-    // A log line that cannot be written has nowhere else to go.
+    // A failure to write the log cannot be logged either.
     let _ = output.write_all(&buffer);
     let _ = output.flush();
 }
 
-/// Writes each record as one JSON object per line.
+/// Logger that formats each record as a JSON object on one line.
 struct JsonLogger {
     level: LevelFilter,
-    lines: Arc<Mutex<Lines>>,
+    lines: Arc<Mutex<LineBuffer>>,
 }
 
 impl Log for JsonLogger {
     fn enabled(&self, metadata: &Metadata<'_>) -> bool {
-        let is_library = LIBRARIES.iter().any(|it| metadata.target().starts_with(it));
-        metadata.level() <= if is_library { self.level.min(LevelFilter::Warn) } else { self.level }
+        let is_verbose = VERBOSE_LIBRARIES.iter().any(|it| metadata.target().starts_with(it));
+        metadata.level() <= if is_verbose { self.level.min(LevelFilter::Warn) } else { self.level }
     }
 
     fn log(&self, record: &Record<'_>) {
@@ -147,8 +149,8 @@
     }
 
     fn flush(&self) {
-        lock(&self.lines).report_left_out();
-        write_out(&self.lines);
+        lock(&self.lines).report_dropped();
+        write_buffer(&self.lines);
     }
 }
 
@@ -177,12 +179,12 @@
     fields.insert("target".to_owned(), record.target().into());
     fields.insert("message".to_owned(), record.args().to_string().into());
     let mut visitor = FieldVisitor { fields };
-    // The visitor itself never fails.
+    // The visitor never returns an error.
     let _ = record.key_values().visit(&mut visitor);
     Json::Object(visitor.fields)
 }
 
-/// Collects the key-value pairs of a record.
+/// Collects the key-value pairs of a record as JSON members.
 struct FieldVisitor {
     fields: Map<String, Json>,
 }
--- a/crates/runtime/src/logging/tests.rs
+++ b/crates/runtime/src/logging/tests.rs
@@ -1,9 +1,9 @@
 use super::*;
 
 #[test]
-fn lines_beyond_the_budget_are_left_out_and_counted() {
+fn lines_above_the_rate_limits_are_dropped_and_counted() {
     let start = Instant::now();
-    let mut lines = Lines::new(start);
+    let mut lines = LineBuffer::new(start);
     for _ in 0..500 {
         lines.push(Level::Info, || b"info".to_vec(), start);
     }
@@ -19,13 +19,13 @@
 }
 
 #[test]
-fn an_output_that_takes_nothing_bounds_the_buffer() {
+fn buffer_stays_bounded_while_the_output_is_blocked() {
     let mut now = Instant::now();
-    let mut lines = Lines::new(now);
+    let mut lines = LineBuffer::new(now);
     for _ in 0..10_000 {
         now += Duration::from_millis(10);
         lines.push(Level::Warn, || vec![b'x'; 1_000], now);
     }
     assert!(lines.buffer.len() < MAX_BUFFER_BYTES + 2_000);
-    assert!(lines.left_out > 0);
+    assert!(lines.dropped > 0);
 }
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings that both binaries read from flags and environment variables.
+//! Settings from flags and environment variables that the binaries have in common.
 
 use std::{net::SocketAddr, num::NonZeroUsize};
 
@@ -7,10 +7,10 @@
 
 use crate::threads::DEFAULT_WORKER_THREADS;
 
-/// Longest wait of a planned stop for work in progress, in milliseconds, unless set otherwise.
+/// Default of the longest time that a graceful shutdown waits for work in progress, in milliseconds.
 const DEFAULT_STOP_LIMIT_MS: u64 = 60_000;
 
-/// Parses the name of the instance.
+/// Parses the name of the instance in the platform's list.
 pub fn name() -> impl Parser<String> {
     long("name")
         .env("YUCCATRAIL_NAME")
@@ -19,7 +19,7 @@
         .guard(is_not_empty, "name must not be empty")
 }
 
-/// Parses the data centre of the instance.
+/// Parses the data centre that the instance runs in.
 pub fn data_centre() -> impl Parser<String> {
     long("data-centre")
         .env("YUCCATRAIL_DATA_CENTRE")
@@ -37,7 +37,7 @@
     long(flag).env(variable).help(help).argument("ADDRESS")
 }
 
-/// Parses the longest wait of a planned stop, in milliseconds.
+/// Parses the longest time that a graceful shutdown waits for work in progress, in milliseconds.
 pub fn stop_limit_ms() -> impl Parser<u64> {
     long("stop-limit-ms")
         .env("YUCCATRAIL_STOP_LIMIT_MS")
@@ -47,7 +47,7 @@
         .display_fallback()
 }
 
-/// Parses the least severe level that is logged.
+/// Parses the least severe log level that is written.
 pub fn log_level() -> impl Parser<LevelFilter> {
     long("log-level")
         .env("YUCCATRAIL_LOG_LEVEL")
@@ -57,7 +57,7 @@
         .display_fallback()
 }
 
-/// Parses the number of threads that run the process's tasks.
+/// Parses the number of worker threads of the runtime.
 pub fn worker_threads() -> impl Parser<NonZeroUsize> {
     long("worker-threads")
         .env("YUCCATRAIL_WORKER_THREADS")
@@ -67,8 +67,8 @@
         .display_fallback()
 }
 
-/// Tells whether a text setting is given.
-#[allow(clippy::ptr_arg)] // a parser's guard passes the parsed type
+/// Tells whether a text setting is not empty, as a guard of its parser.
+#[allow(clippy::ptr_arg)] // a guard receives a reference to the parsed type
 pub fn is_not_empty(text: &String) -> bool {
     !text.is_empty()
 }
--- a/crates/runtime/src/shutdown.rs
+++ b/crates/runtime/src/shutdown.rs
@@ -1,4 +1,4 @@
-//! Signals that ask a process for a planned stop.
+//! Signals that request a graceful shutdown.
 
 use std::io;
 
--- a/crates/runtime/src/threads.rs
+++ b/crates/runtime/src/threads.rs
@@ -1,26 +1,26 @@
-//! The tokio runtime of a process.
+//! Construction of the process's tokio runtime.
 
 use std::{io, num::NonZeroUsize};
 
 use tokio::runtime::{Builder, Runtime};
 
-/// Worker threads of a process that states no other number.
+/// Default number of worker threads.
 ///
-/// An instance is small; more threads mostly wake each other.
+/// Instances are small, and additional threads would mostly wake each other up.
 pub const DEFAULT_WORKER_THREADS: NonZeroUsize = NonZeroUsize::MIN.saturating_add(1);
 
-/// Creates a runtime with a number of worker threads.
+/// Creates a multi-threaded runtime.
 ///
 /// # Errors
 ///
-/// Returns an error when the threads cannot be started.
+/// Returns an error when the worker threads cannot be started.
 pub fn runtime(worker_threads: NonZeroUsize) -> io::Result<Runtime> {
     Builder::new_multi_thread().worker_threads(worker_threads.get()).enable_all().build()
 }
 
 /// Creates a runtime that runs all tasks on the calling thread.
 ///
-/// An instance with a part of one core gains nothing from a second thread.
+/// An instance with less than one core gains nothing from a second thread.
 ///
 /// # Errors
 ///
