--- a/crates/platform/src/budget.rs
+++ b/crates/platform/src/budget.rs
@@ -1,4 +1,4 @@
-//! Limits and counts the calls that one process makes to the platform.
+//! Rate limits and counters for the calls of one process to the platform.
 
 use std::{
     sync::{Mutex, PoisonError},
@@ -9,33 +9,33 @@
 
 use crate::BudgetSettings;
 
-/// Kind of a call, as the platform counts it.
+/// Kind of a call, as the platform counts it; each kind has its own rate limit.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq, Hash)]
 #[display(rename_all = "snake_case")]
 pub enum CallKind {
-    /// A single read or a list.
+    /// A read of one object or a list.
     Read,
     /// A creation, update or deletion.
     Write,
-    /// A watch, counted once when it is opened.
+    /// A watch or long poll, counted once when it is opened.
     Watch,
 }
 
-/// Numbers of calls since the start of the process.
+/// Numbers of calls since the creation of the client.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CallCounts {
     /// Reads and lists that were sent.
     pub reads: u64,
     /// Creations, updates and deletions that were sent.
     pub writes: u64,
-    /// Watches that were opened.
+    /// Watches and long polls that were opened.
     pub watches: u64,
-    /// Calls that were refused because their turn was too far away.
+    /// Calls that were refused because the rate limit would have delayed them for too long.
     pub refused: u64,
 }
 
 impl CallCounts {
-    /// Counts one call of the given kind.
+    /// Counts one sent call of the given kind.
     pub fn add(&mut self, kind: CallKind) {
         match kind {
             CallKind::Read => self.reads += 1,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Token bucket that holds up to one second's worth of calls, and at least one.
+/// Token bucket whose capacity is the number of calls allowed per second, but at least one.
 #[derive(Clone, Copy, Debug)]
 pub struct TokenBucket {
     per_second: f64,
@@ -54,14 +54,13 @@
 }
 
 impl TokenBucket {
-    /// Creates a full bucket that refills with `per_second` calls.
+    /// Creates a full bucket that is refilled at `per_second` tokens per second.
     pub fn new(per_second: f64, now: Instant) -> Self {
         Self { per_second, tokens: per_second.max(1.0), updated: now }
     }
 
-    /// Takes one call and returns the time until its turn, or `None` if that exceeds `max_wait`.
-    ///
-    /// A refused call takes nothing.
+    /// Takes the token for one call and returns the delay until the call may be sent, or `None`
+    /// without taking a token if the delay would exceed `max_wait`.
     pub fn take(&mut self, now: Instant, max_wait: Duration) -> Option<Duration> {
         self.refill(now);
         let missing = (1.0 - self.tokens).max(0.0);
@@ -83,7 +82,7 @@
     }
 }
 
-/// Limits and counts the calls of one process; clones of a client share it.
+/// Limits the rate of calls and counts them; clones of a client share it.
 #[derive(Debug)]
 pub struct CallBudget {
     max_wait: Duration,
@@ -99,7 +98,7 @@
 }
 
 impl CallBudget {
-    /// Creates a budget whose buckets are full.
+    /// Creates a budget whose token buckets are full.
     pub fn new(settings: BudgetSettings, now: Instant) -> Self {
         let state = State {
             reads: TokenBucket::new(settings.reads_per_second, now),
@@ -110,7 +109,7 @@
         Self { max_wait: Duration::from_millis(settings.max_wait_ms), state: Mutex::new(state) }
     }
 
-    /// Reserves one call and returns the time until its turn, or `None` if the call is refused.
+    /// Reserves one call and returns the delay until it may be sent, or `None` if it is refused.
     pub fn reserve(&self, kind: CallKind, now: Instant) -> Option<Duration> {
         let mut state = self.state.lock().unwrap_or_else(PoisonError::into_inner);
         let bucket = match kind {
@@ -126,7 +125,7 @@
         wait
     }
 
-    /// Returns the numbers of calls so far.
+    /// Returns the numbers of calls made so far.
     pub fn counts(&self) -> CallCounts {
         self.state.lock().unwrap_or_else(PoisonError::into_inner).counts
     }
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -1,4 +1,4 @@
-//! Calls of the object API.
+//! HTTP client of the object API.
 
 use std::{
     sync::Arc,
@@ -17,7 +17,7 @@
 use crate::{
     API_VERSION, CallBudget, CallCounts, CallKind, ClientSettings, Kind, MAX_VALUE_BYTES, Object,
     ObjectList, PlatformError, ResourceVersion, Watch,
-    answer::{Answer, Exchange},
+    response::{BufferedResponse, CallContext},
     wire::{
         DeleteOptions, Envelope, ListEnvelope, Metadata, Preconditions, collection_path,
         object_path,
@@ -27,15 +27,15 @@
 /// Time after which an idle connection is closed, in milliseconds.
 const POOL_IDLE_TIMEOUT_MS: u64 = 30_000;
 
-/// Silence after which a connection is probed, and time between two probes, in seconds.
+/// Idle time after which TCP keep-alive probes a connection, and interval between probes, in seconds.
 ///
-/// A poll may wait for long, so a connection that went silent has to be noticed below it.
+/// A long poll may wait for a long time, so a dead connection has to be detected by TCP.
 const KEEPALIVE_S: u64 = 1;
 
-/// Probes without an answer after which a connection is closed.
+/// Unacknowledged TCP keep-alive probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 1;
 
-/// Client of the platform's object API; clones share connections and the call budget.
+/// Client of the platform's object API; clones share the connections and the call budget.
 #[derive(Clone, Debug)]
 pub struct Client {
     inner: Arc<Inner>,
@@ -49,7 +49,7 @@
 }
 
 impl Client {
-    /// Creates a client; no connection is opened before the first call.
+    /// Creates a client; connections are opened on demand.
     pub fn new(settings: ClientSettings) -> Self {
         let mut connector = HttpConnector::new();
         connector.set_nodelay(true);
@@ -75,52 +75,52 @@
         self.inner.budget.counts()
     }
 
-    /// Reads one object, or `None` if there is none of that name.
+    /// Reads one object; returns `None` if it does not exist.
     ///
     /// # Errors
     ///
-    /// Returns `Unavailable` when the platform gives no answer and `Invalid` when the answer does
-    /// not follow the API.
+    /// Returns `Unavailable` when the platform does not respond and `Invalid` when the response
+    /// does not conform to the API.
     pub async fn get<T: DeserializeOwned>(
         &self,
         kind: Kind,
         name: &str,
     ) -> Result<Option<Object<T>>, PlatformError> {
         let path = object_path(&self.inner.settings.environment, kind, name)?;
-        let exchange = Exchange::new(CallKind::Read, self.object_name(kind, name));
-        let answer = self.call(&exchange, Method::GET, &path, Bytes::new()).await?;
-        if answer.is_not_found() {
+        let context = CallContext::new(CallKind::Read, self.object_name(kind, name));
+        let response = self.call(&context, Method::GET, &path, Bytes::new()).await?;
+        if response.is_not_found() {
             return Ok(None);
         }
-        answer.object(&exchange).map(Some)
+        response.object(&context).map(Some)
     }
 
     /// Reads all objects of a kind.
     ///
     /// # Errors
     ///
-    /// Returns `Unavailable` when the platform gives no answer and `Invalid` when the answer does
-    /// not follow the API.
+    /// Returns `Unavailable` when the platform does not respond and `Invalid` when the response
+    /// does not conform to the API.
     pub async fn list<T: DeserializeOwned>(
         &self,
         kind: Kind,
     ) -> Result<ObjectList<T>, PlatformError> {
         let path = collection_path(&self.inner.settings.environment, kind)?;
-        let exchange = Exchange::new(CallKind::Read, self.collection_name(kind));
-        let answer = self.call(&exchange, Method::GET, &path, Bytes::new()).await?;
-        let list: ListEnvelope<T> = answer.json(&exchange)?;
+        let context = CallContext::new(CallKind::Read, self.collection_name(kind));
+        let response = self.call(&context, Method::GET, &path, Bytes::new()).await?;
+        let list: ListEnvelope<T> = response.json(&context)?;
         let mut objects = Vec::with_capacity(list.items.len());
         for item in list.items {
-            objects.push(item.into_object().map_err(|it| exchange.invalid(it))?);
+            objects.push(item.into_object().map_err(|it| context.invalid(it))?);
         }
         Ok(ObjectList { resource_version: list.metadata.resource_version, objects })
     }
 
-    /// Creates an object if there is none of that name.
+    /// Creates an object if there is none of the same name.
     ///
     /// # Errors
     ///
-    /// Returns `AlreadyExists` when there is one, `TooLarge` before anything is sent,
+    /// Returns `AlreadyExists` when there is one, `TooLarge` without sending the request,
     /// `Unavailable` when the object was certainly not created and `AnswerLost` when it may have
     /// been.
     pub async fn create<T: Serialize + DeserializeOwned>(
@@ -131,18 +131,18 @@
     ) -> Result<Object<T>, PlatformError> {
         object_path(&self.inner.settings.environment, kind, name)?;
         let path = collection_path(&self.inner.settings.environment, kind)?;
-        let exchange = Exchange::new(CallKind::Write, self.object_name(kind, name));
-        let body = self.encode(&exchange, kind, name, None, spec)?;
-        let answer = self.call(&exchange, Method::POST, &path, body).await?;
-        answer.object(&exchange)
+        let context = CallContext::new(CallKind::Write, self.object_name(kind, name));
+        let body = self.encode(&context, kind, name, None, spec)?;
+        let response = self.call(&context, Method::POST, &path, body).await?;
+        response.object(&context)
     }
 
-    /// Replaces the content of an object if it still has the version `from`.
+    /// Replaces the content of an object if its version is still `from`.
     ///
     /// # Errors
     ///
-    /// Returns `Conflict` when the object has changed or is gone, `TooLarge` before anything is
-    /// sent, `Unavailable` when the object was certainly not changed and `AnswerLost` when it may
+    /// Returns `Conflict` when the object has changed or no longer exists, `TooLarge` without
+    /// sending the request, `Unavailable` when the object was certainly not changed and `AnswerLost` when it may
     /// have been.
     pub async fn update<T: Serialize + DeserializeOwned>(
         &self,
@@ -152,18 +152,18 @@
         spec: &T,
     ) -> Result<Object<T>, PlatformError> {
         let path = object_path(&self.inner.settings.environment, kind, name)?;
-        let exchange = Exchange::new(CallKind::Write, self.object_name(kind, name));
-        let body = self.encode(&exchange, kind, name, Some(from.clone()), spec)?;
-        let answer = self.call(&exchange, Method::PUT, &path, body).await?;
-        if answer.is_not_found() {
-            return Err(PlatformError::Conflict { object: exchange.object });
+        let context = CallContext::new(CallKind::Write, self.object_name(kind, name));
+        let body = self.encode(&context, kind, name, Some(from.clone()), spec)?;
+        let response = self.call(&context, Method::PUT, &path, body).await?;
+        if response.is_not_found() {
+            return Err(PlatformError::Conflict { object: context.object });
         }
-        answer.object(&exchange)
+        response.object(&context)
     }
 
-    /// Deletes an object, if it still has the version `from` when one is given.
+    /// Deletes an object; if `from` is given, only if that is still the object's version.
     ///
-    /// Returns whether there was an object of that name.
+    /// Returns whether the object existed.
     ///
     /// # Errors
     ///
@@ -176,30 +176,30 @@
         from: Option<&ResourceVersion>,
     ) -> Result<bool, PlatformError> {
         let path = object_path(&self.inner.settings.environment, kind, name)?;
-        let exchange = Exchange::new(CallKind::Write, self.object_name(kind, name));
+        let context = CallContext::new(CallKind::Write, self.object_name(kind, name));
         let body = match from {
             Some(resource_version) => {
                 let preconditions = Preconditions { resource_version };
                 let options =
                     DeleteOptions { api_version: "v1", kind: "DeleteOptions", preconditions };
-                exchange.encode(&options)?
+                context.encode(&options)?
             }
             None => Bytes::new(),
         };
-        let answer = self.call(&exchange, Method::DELETE, &path, body).await?;
-        if answer.is_not_found() {
+        let response = self.call(&context, Method::DELETE, &path, body).await?;
+        if response.is_not_found() {
             return Ok(false);
         }
-        answer.check(&exchange)?;
+        response.check(&context)?;
         Ok(true)
     }
 
-    /// Opens a watch for the changes of a kind after the version `from`.
+    /// Opens a watch for the changes of a kind since the version `from`.
     ///
     /// # Errors
     ///
-    /// Returns `Gone` when the platform no longer holds the changes since `from`, and `Unavailable`
-    /// when it gives no answer.
+    /// Returns `Gone` when the platform no longer has the changes since `from`, and `Unavailable`
+    /// when it does not respond.
     pub async fn watch<T: DeserializeOwned>(
         &self,
         kind: Kind,
@@ -211,58 +211,60 @@
             "watch=true&allowWatchBookmarks=true&resourceVersion={from}&timeoutSeconds={}",
             settings.watch_timeout_s
         );
-        let exchange = Exchange::new(CallKind::Watch, self.collection_name(kind));
+        let context = CallContext::new(CallKind::Watch, self.collection_name(kind));
         let path = format!("{path}?{query}");
         let opened = async {
-            let response = self.send(&exchange, Method::GET, &path, Bytes::new()).await?;
+            let response = self.send(&context, Method::GET, &path, Bytes::new()).await?;
             if response.status() == StatusCode::OK {
                 return Ok(response);
             }
-            Answer::read(&exchange, response).await?.check(&exchange)?;
-            Err(exchange.invalid("a watch was answered without a stream".to_owned()))
+            BufferedResponse::read(&context, response).await?.check(&context)?;
+            Err(context.invalid("the response to a watch is not a stream".to_owned()))
         };
-        let response = self.within_timeout(&exchange, opened).await?;
+        let response = self.within_timeout(&context, opened).await?;
         let end = Duration::from_secs(settings.watch_timeout_s)
             + Duration::from_millis(settings.request_timeout_ms);
-        Ok(Watch::new(exchange, response.into_body(), end))
+        Ok(Watch::new(context, response.into_body(), end))
     }
 
-    /// Reads a path of any wire form and returns the body of its answer.
+    /// Reads `path`, whatever its format, and returns the undecoded body of the response.
     ///
-    /// `wait_ms` is the time for which the platform may hold the answer back, in milliseconds.
+    /// `object` names the object in errors. `wait_ms` is the time for which the platform may delay
+    /// the response, in milliseconds, as in a long poll.
     ///
     /// # Errors
     ///
-    /// Returns `Gone` when the platform no longer holds the changes, and `Unavailable` when it gives
-    /// no answer.
+    /// Returns `Gone` when the platform no longer has the requested changes, and `Unavailable` when
+    /// it does not respond.
     pub async fn read(
         &self,
-        call: CallKind,
+        call_kind: CallKind,
         object: &str,
         path: &str,
         wait_ms: u64,
     ) -> Result<Bytes, PlatformError> {
-        let exchange = Exchange::new(call, object.to_owned());
-        let whole = async {
-            let response = self.send(&exchange, Method::GET, path, Bytes::new()).await?;
-            Answer::read(&exchange, response).await
+        let context = CallContext::new(call_kind, object.to_owned());
+        let buffered = async {
+            let response = self.send(&context, Method::GET, path, Bytes::new()).await?;
+            BufferedResponse::read(&context, response).await
         };
-        let limit_ms = self.inner.settings.request_timeout_ms + wait_ms;
-        self.take_turn(&exchange).await?;
-        let Ok(answer) = tokio::time::timeout(Duration::from_millis(limit_ms), whole).await else {
-            return Err(exchange.timed_out());
+        let timeout_ms = self.inner.settings.request_timeout_ms + wait_ms;
+        self.wait_for_budget(&context).await?;
+        let Ok(response) = tokio::time::timeout(Duration::from_millis(timeout_ms), buffered).await
+        else {
+            return Err(context.timed_out());
         };
-        let answer = answer?;
-        answer.check(&exchange)?;
-        Ok(answer.into_body())
+        let response = response?;
+        response.check(&context)?;
+        Ok(response.into_body())
     }
 
-    /// Writes to a path of any wire form; `object` names the object in errors.
+    /// Writes `body`, whatever its format, to `path`; `object` names the object in errors.
     ///
     /// # Errors
     ///
-    /// Returns `Conflict` when the object exists or has changed, `Unavailable` when the write
-    /// certainly had no effect and `AnswerLost` when it may have had one.
+    /// Returns `AlreadyExists` or `Conflict` when the object exists or has changed, `Unavailable`
+    /// when the write certainly had no effect and `AnswerLost` when it may have had one.
     pub async fn write(
         &self,
         object: &str,
@@ -270,60 +272,60 @@
         path: &str,
         body: Bytes,
     ) -> Result<(), PlatformError> {
-        let exchange = Exchange::new(CallKind::Write, object.to_owned());
-        let answer = self.call(&exchange, method, path, body).await?;
-        answer.check(&exchange)
+        let context = CallContext::new(CallKind::Write, object.to_owned());
+        let response = self.call(&context, method, path, body).await?;
+        response.check(&context)
     }
 
-    /// Makes one call and reads its whole answer.
+    /// Makes one call and reads the complete response.
     async fn call(
         &self,
-        exchange: &Exchange,
+        context: &CallContext,
         method: Method,
         path: &str,
         body: Bytes,
-    ) -> Result<Answer, PlatformError> {
-        let whole = async {
-            let response = self.send(exchange, method, path, body).await?;
-            Answer::read(exchange, response).await
+    ) -> Result<BufferedResponse, PlatformError> {
+        let buffered = async {
+            let response = self.send(context, method, path, body).await?;
+            BufferedResponse::read(context, response).await
         };
-        self.within_timeout(exchange, whole).await
+        self.within_timeout(context, buffered).await
     }
 
-    /// Waits for the call's turn, then for its result within the request time-out.
+    /// Waits until the call budget allows the call, then for its result within the request time-out.
     async fn within_timeout<V>(
         &self,
-        exchange: &Exchange,
+        context: &CallContext,
         call: impl Future<Output = Result<V, PlatformError>>,
     ) -> Result<V, PlatformError> {
-        self.take_turn(exchange).await?;
+        self.wait_for_budget(context).await?;
         let timeout = Duration::from_millis(self.inner.settings.request_timeout_ms);
         match tokio::time::timeout(timeout, call).await {
             Ok(result) => result,
-            Err(_) => Err(exchange.timed_out()),
+            Err(_) => Err(context.timed_out()),
         }
     }
 
-    /// Waits until the call budget allows the call.
-    async fn take_turn(&self, exchange: &Exchange) -> Result<(), PlatformError> {
-        let Some(wait) = self.inner.budget.reserve(exchange.call, Instant::now()) else {
+    /// Waits until the call budget allows the call; fails if that would take too long.
+    async fn wait_for_budget(&self, context: &CallContext) -> Result<(), PlatformError> {
+        let Some(wait) = self.inner.budget.reserve(context.call_kind, Instant::now()) else {
             return Err(PlatformError::Unavailable {
-                object: exchange.object.clone(),
-                detail: format!("the call budget for {} calls is spent", exchange.call),
+                object: context.object.clone(),
+                detail: format!("the call budget for {} calls is exhausted", context.call_kind),
                 retry_after_ms: Some(self.inner.settings.budget.max_wait_ms),
             });
         };
-        // Even a sleep of no length may take until the timer's next tick.
+        // Even a sleep of zero length may last until the next tick of the timer.
         if !wait.is_zero() {
             tokio::time::sleep(wait).await;
         }
         Ok(())
     }
 
-    /// Sends a request and returns the head of its answer.
+    /// Sends a request and returns the response once its head has been received.
     async fn send(
         &self,
-        exchange: &Exchange,
+        context: &CallContext,
         method: Method,
         path: &str,
         body: Bytes,
@@ -333,14 +335,14 @@
             .uri(format!("http://{}{path}", self.inner.settings.address))
             .header(CONTENT_TYPE, "application/json")
             .body(Full::new(body))
-            .map_err(|error| exchange.invalid(error.to_string()))?;
-        self.inner.http.request(request).await.map_err(|it| exchange.lost(&it))
+            .map_err(|error| context.invalid(error.to_string()))?;
+        self.inner.http.request(request).await.map_err(|it| context.http_client_error(&it))
     }
 
-    /// Encodes an object and checks its size.
+    /// Encodes an object and checks the size of the result.
     fn encode<T: Serialize>(
         &self,
-        exchange: &Exchange,
+        context: &CallContext,
         kind: Kind,
         name: &str,
         resource_version: Option<ResourceVersion>,
@@ -357,10 +359,10 @@
             metadata,
             spec,
         };
-        let body = exchange.encode(&envelope)?;
+        let body = context.encode(&envelope)?;
         if body.len() > MAX_VALUE_BYTES {
             return Err(PlatformError::TooLarge {
-                object: exchange.object.clone(),
+                object: context.object.clone(),
                 size_bytes: body.len(),
                 limit_bytes: MAX_VALUE_BYTES,
             });
@@ -368,12 +370,12 @@
         Ok(body)
     }
 
-    /// Names a collection in errors.
+    /// Returns the name of a collection for errors.
     fn collection_name(&self, kind: Kind) -> String {
         format!("{}/{}", self.inner.settings.environment, kind.plural())
     }
 
-    /// Names an object in errors.
+    /// Returns the name of an object for errors.
     fn object_name(&self, kind: Kind, name: &str) -> String {
         format!("{}/{name}", self.collection_name(kind))
     }
--- a/crates/platform/src/error.rs
+++ b/crates/platform/src/error.rs
@@ -2,43 +2,44 @@
 
 use derive_more::{Display, Error};
 
-/// Why a platform call did not succeed.
+/// Error of a platform call.
 ///
-/// The variants separate what a caller has to treat differently: a call that had no effect, a write
-/// whose effect is not known, and an answer that tells why the platform refused.
+/// The variants distinguish what callers have to handle differently: calls that had no effect,
+/// writes whose effect is not known, and responses in which the platform states why it refused.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 pub enum PlatformError {
-    /// The call had no effect; every failed read belongs here as well.
+    /// The call had no effect, for example because the platform could not be reached; also returned
+    /// for reads without a response.
     #[display("{object}: platform unavailable: {detail}")]
     Unavailable {
-        /// Object or collection that the call was about.
+        /// Object or collection that was called.
         object: String,
-        /// What was observed.
+        /// Description of the failure.
         detail: String,
-        /// Time after which the platform allows another call, in milliseconds.
+        /// Time after which the call may be retried, in milliseconds, if known.
         retry_after_ms: Option<u64>,
     },
-    /// A write was sent and its answer was lost, so it may or may not have taken effect.
-    #[display("{object}: answer lost, the write may have taken effect: {detail}")]
+    /// A write was sent but its response was lost, so that it may or may not have taken effect.
+    #[display("{object}: response lost, the write may have taken effect: {detail}")]
     AnswerLost {
-        /// Object that the write was about.
+        /// Object that was to be written.
         object: String,
-        /// What was observed.
+        /// Description of the failure.
         detail: String,
     },
-    /// An object of the same name exists already.
-    #[display("{object}: exists already")]
+    /// An object of the same name already exists.
+    #[display("{object}: already exists")]
     AlreadyExists {
-        /// Object that the write was about.
+        /// Object that was to be written.
         object: String,
     },
-    /// The object was changed or deleted since the version that the write is based on.
+    /// The object was changed or deleted after the version that the write is based on.
     #[display("{object}: changed since it was read")]
     Conflict {
-        /// Object that the write was about.
+        /// Object that was to be written.
         object: String,
     },
-    /// The platform no longer holds the changes since the version that a watch asked for.
+    /// The platform no longer has the history since the version from which a watch was requested.
     #[display("{object}: the requested version is too old to watch from")]
     Gone {
         /// Collection that was watched.
@@ -47,19 +48,19 @@
     /// The value exceeds the platform's limit and was not sent.
     #[display("{object}: value of {size_bytes} bytes exceeds the limit of {limit_bytes} bytes")]
     TooLarge {
-        /// Object that the write was about.
+        /// Object that was to be written.
         object: String,
         /// Size of the encoded object, in bytes.
         size_bytes: usize,
-        /// Largest encoded object that the platform takes, in bytes.
+        /// Maximum size of an encoded object, in bytes.
         limit_bytes: usize,
     },
-    /// The request or the answer does not follow the API; repeating the call does not help.
+    /// The request or the response does not conform to the API, so that a retry would fail as well.
     #[display("{object}: {detail}")]
     Invalid {
-        /// Object or collection that the call was about.
+        /// Object or collection that was called.
         object: String,
-        /// What is wrong.
+        /// Description of the violation.
         detail: String,
     },
 }
--- a/crates/platform/src/lib.rs
+++ b/crates/platform/src/lib.rs
@@ -1,10 +1,9 @@
-//! Client of the platform's object API: objects with versions, conditional updates and watches.
+//! Client of the platform's object API: versioned objects, conditional updates and watches.
 //!
 //! The API follows the published conventions of Kubernetes: objects live at
 //! `/apis/yuccatrail.dev/v1/namespaces/{environment}/{plural}/{name}`, carry an opaque
-//! `metadata.resourceVersion`, and failures are answered with a `Status` object.
+//! `metadata.resourceVersion`, and errors are returned as a `Status` object.
 
-mod answer;
 mod backoff;
 mod budget;
 mod client;
@@ -12,6 +11,7 @@
 mod object;
 mod poll;
 mod poll_watchdog;
+mod response;
 mod settings;
 mod watch;
 mod watcher;
--- a/crates/platform/src/object.rs
+++ b/crates/platform/src/object.rs
@@ -1,4 +1,4 @@
-//! Objects of the platform and their kinds.
+//! Objects of the platform's API and their kinds.
 
 use derive_more::{Display, From, Into};
 use serde::{Deserialize, Serialize};
@@ -6,30 +6,30 @@
 /// Name of the only object of the kinds [`Kind::Environments`] and [`Kind::Operations`].
 pub const CURRENT: &str = "current";
 
-/// Version of an object or a collection; only the platform can interpret it.
+/// Opaque version of an object or a collection.
 #[derive(Clone, Debug, Display, PartialEq, Eq, Hash, From, Into, Serialize, Deserialize)]
 #[serde(transparent)]
 pub struct ResourceVersion(pub String);
 
-/// Kind of an object, which selects its collection.
+/// Kind of an object; each kind has its own collection.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub enum Kind {
     /// The accepted environment document.
     Environments,
-    /// Operational state, such as the data centres that are out.
+    /// Operational state, such as the data centres that are out of service.
     Operations,
-    /// Instances of the fleet, which the platform itself maintains.
+    /// Instances of the fleet; maintained by the platform itself.
     Instances,
-    /// Claims on non-idempotent calls.
+    /// Claims by which one process reserves a non-idempotent call.
     Claims,
-    /// Leases that elect one holder.
+    /// Leases, each held by at most one process.
     Leases,
     /// Desired state of pools.
     DesiredPools,
 }
 
 impl Kind {
-    /// Every kind.
+    /// All kinds.
     pub const ALL: [Self; 6] = [
         Self::Environments,
         Self::Operations,
@@ -39,7 +39,7 @@
         Self::DesiredPools,
     ];
 
-    /// Returns the name of the collection in paths.
+    /// Returns the plural name, which identifies the collection in paths.
     pub fn plural(self) -> &'static str {
         match self {
             Self::Environments => "environments",
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Returns the name in the `kind` member of an object.
+    /// Returns the value of the `kind` member of objects.
     pub fn name(self) -> &'static str {
         match self {
             Self::Environments => "Environment",
@@ -64,22 +64,22 @@
     }
 }
 
-/// One object with its version.
+/// An object at one version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Object<T> {
     /// Name, unique within the kind and the environment.
     pub name: String,
-    /// Version, which the next conditional write has to repeat.
+    /// Version, which a conditional write has to state.
     pub resource_version: ResourceVersion,
-    /// Content.
+    /// Content of the object.
     pub spec: T,
 }
 
 /// All objects of one kind at one version.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ObjectList<T> {
-    /// Version of the collection, from which a watch continues without a gap.
+    /// Version of the collection; a watch from it delivers all later changes.
     pub resource_version: ResourceVersion,
-    /// The objects, in order of their names.
+    /// The objects, sorted by name.
     pub objects: Vec<Object<T>>,
 }
--- a/crates/platform/src/poll.rs
+++ b/crates/platform/src/poll.rs
@@ -1,7 +1,7 @@
-//! Follows one kind of an object API whose watches are long polls.
+//! Keeps a consumer up to date with one kind of an object API by lists and long polls.
 //!
-//! The API's paths and bodies come from outside as plain functions, so that this client serves every
-//! wire form with the same connections, call budget and delays.
+//! The paths and the decoding of bodies are passed in as functions, so that the same connections, call
+//! budget and backoff serve any wire format.
 
 use std::{
     sync::{
@@ -20,61 +20,63 @@
 
 use crate::{Backoff, BackoffSettings, CallKind, Client, PlatformError};
 
-/// Revision of a store, which rises with each change.
+/// Revision of the platform's store, which increases with each change.
 pub type Revision = u64;
 
-/// Part of a list.
+/// One page of a list.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ListPage<T> {
     /// Objects of the page.
     pub items: Vec<T>,
     /// Revision of the store when the page was read.
     pub revision: Revision,
-    /// Name after which the next page begins; none for the last page.
+    /// Name after which the next page begins; `None` for the last page.
     pub next: Option<String>,
 }
 
-/// Changes since the revision that a poll asked for.
+/// Response to a long poll: the changes since the requested revision.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Changes<T> {
-    /// The changes in their order; may be empty.
+    /// The changes in the order in which they were made; may be empty.
     pub items: Vec<T>,
     /// Revision from which the next poll continues.
     pub revision: Revision,
 }
 
-/// Decodes a body, or returns what is wrong with it.
+/// Decodes a body, or returns a description of what is wrong with it.
 pub type Decode<T> = fn(&[u8]) -> Result<T, String>;
 
-/// Paths and bodies of one kind.
+/// Paths and body formats by which one kind is listed and polled.
 #[derive(Clone, Copy, Debug)]
 pub struct PollProtocol<T> {
-    /// Name of the kind in logs.
+    /// Name of the kind in paths, errors and logs.
     pub kind: &'static str,
-    /// Returns the path of the list page that begins after a name.
+    /// Returns the path of the list page that begins after the name `after`, or of the first page.
     pub list_path: fn(kind: &str, after: Option<&str>) -> String,
-    /// Returns the path of a poll for changes after a revision that waits up to a time in
-    /// milliseconds.
+    /// Returns the path of a long poll for the changes after revision `from`, which the platform
+    /// holds open for up to `wait_ms` milliseconds while there are none.
     pub poll_path: fn(kind: &str, from: Revision, wait_ms: u64) -> String,
     /// Decodes a list page.
     pub decode_list: Decode<ListPage<T>>,
-    /// Decodes the answer of a poll.
+    /// Decodes the response to a long poll.
     pub decode_changes: Decode<Changes<T>>,
 }
 
 /// Settings of a [`Poller`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct PollerSettings {
-    /// Delays between failed calls.
+    /// Backoff after failed calls.
     pub backoff: BackoffSettings,
-    /// Time for which the platform holds back a poll without changes, in milliseconds.
+    /// Time for which the platform holds a poll open while there are no changes, in milliseconds.
     pub wait_ms: u64,
-    /// Time between an answer with changes and the next poll, in milliseconds; changes that come
-    /// shortly after each other then cost one call.
-    pub gather_ms: u64,
-    /// Delay after a failed call of a poller that is patient, in milliseconds.
+    /// Delay between a response with changes and the next poll, in milliseconds; coalesces changes
+    /// in quick succession into one call.
+    pub coalesce_ms: u64,
+    /// Delay after a failed call while slow retry is set, in milliseconds; see
+    /// [`Poller::set_slow_retry`].
     pub slow_retry_delay_ms: u64,
-    /// Number of updates that wait for the consumer before the poller pauses.
+    /// Number of updates that may be queued for the consumer; the poller pauses while the queue is
+    /// full.
     pub queue: usize,
 }
 
@@ -82,36 +84,37 @@
     fn default() -> Self {
         Self {
             backoff: BackoffSettings { first_ms: 50, max_ms: 400 },
-            // Each poll is paid for; the client's keep-alive notices a connection that went silent.
+            // Each poll is billed, so polls are long; TCP keep-alive detects dead connections.
             wait_ms: 20_000,
-            // An eighth of the two seconds in which a change has to be in force.
-            gather_ms: 250,
-            // Only in case the sign of its return is missed; each call is paid for, also a refused one.
+            // An eighth of the two seconds within which a change has to take effect.
+            coalesce_ms: 250,
+            // Only a fallback in case the refresh on the platform's return is missed; each call is
+            // billed, even a refused one.
             slow_retry_delay_ms: 5_000,
             queue: 64,
         }
     }
 }
 
-/// One update for the consumer of a [`Poller`].
+/// Update for the consumer of a [`Poller`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum PollUpdate<T> {
-    /// The whole kind; objects that are not listed do not exist.
+    /// All objects of the kind; those that are not contained do not exist.
     Snapshot {
         /// The objects.
         items: Vec<T>,
-        /// Revision of the store when the list began.
+        /// Revision of the store when the first page of the list was read.
         revision: Revision,
     },
-    /// Changes in their order.
+    /// Changes in the order in which they were made.
     Changes(Changes<T>),
     /// The platform cannot be reached; updates may be missing until it is available again.
     Unavailable(PlatformError),
-    /// The platform can be reached again; the updates that follow leave no gap.
+    /// The platform can be reached again; the updates that follow cover everything since.
     Available,
 }
 
-/// A task that follows one kind.
+/// Handle of a task that polls one kind.
 #[derive(Debug)]
 pub struct Poller {
     cancel: CancellationToken,
@@ -121,21 +124,21 @@
 }
 
 impl Poller {
-    /// Starts to follow a kind and returns the updates in order.
+    /// Starts to poll a kind; the receiver delivers the updates in order.
     ///
     /// The poller stops when `cancel` is cancelled or the receiver is dropped.
     pub fn start<T: Send + 'static>(
         client: Client,
-        form: PollProtocol<T>,
+        protocol: PollProtocol<T>,
         settings: PollerSettings,
         cancel: &CancellationToken,
     ) -> (Self, mpsc::Receiver<PollUpdate<T>>) {
         let (updates, receiver) = mpsc::channel(settings.queue);
         let cancel = cancel.child_token();
         let retries_slowly = Arc::new(AtomicBool::new(false));
-        let follower = Follower {
+        let poll_task = PollTask {
             client,
-            form,
+            protocol,
             settings,
             updates,
             backoff: Backoff::new(settings.backoff),
@@ -145,75 +148,78 @@
         };
         let stop = cancel.clone();
         let refresh = Arc::new(Notify::new());
-        let refreshed = refresh.clone();
+        let refresh_request = refresh.clone();
         let task = tokio::spawn(async move {
-            // A cancelled and a finished follower need nothing more.
-            let _ = stop.run_until_cancelled(follower.run(&refreshed)).await;
+            // No cleanup is needed, whether the task was cancelled or has finished.
+            let _ = stop.run_until_cancelled(poll_task.run(&refresh_request)).await;
         });
         (Self { cancel, refresh, retries_slowly, task }, receiver)
     }
 
-    /// Breaks off the call in progress, or the wait after one, and lists again at once.
+    /// Cancels the call in progress or the delay after one, and lists the kind again immediately.
     pub fn refresh(&self) {
         self.refresh.notify_one();
     }
 
-    /// Makes the poller wait long after a failed call, until it is refreshed, or ends that.
+    /// Sets whether the poller waits for the slow retry delay instead of the backoff after a failed
+    /// call.
     ///
-    /// Whoever knows that the platform does not answer says so, and refreshes on its return.
+    /// For callers that know from elsewhere that the platform does not respond; they call
+    /// [`Poller::refresh`] when it responds again.
     pub fn set_slow_retry(&self, retries_slowly: bool) {
         self.retries_slowly.store(retries_slowly, Ordering::Relaxed);
     }
 
-    /// Stops the poller and waits until it has closed its connection.
+    /// Stops the poller and waits until its connection is closed.
     pub async fn close(self) {
         self.cancel.cancel();
-        // The runtime reports a panic of the task by itself.
+        // A panic of the task has already been reported by the panic hook.
         let _ = self.task.await;
     }
 }
 
-struct Follower<T> {
+struct PollTask<T> {
     client: Client,
-    form: PollProtocol<T>,
+    protocol: PollProtocol<T>,
     settings: PollerSettings,
     updates: mpsc::Sender<PollUpdate<T>>,
     backoff: Backoff,
     retries_slowly: Arc<AtomicBool>,
-    /// Revision up to which every change was delivered; none before the first list.
+    /// Revision up to which all changes have been delivered; `None` if the kind has to be listed.
     revision: Option<Revision>,
     is_available: bool,
 }
 
-/// The consumer has dropped its receiver.
+/// Error when the consumer has dropped the receiver.
 struct ConsumerGone;
 
-impl<T: Send + 'static> Follower<T> {
+impl<T: Send + 'static> PollTask<T> {
     async fn run(mut self, refresh: &Notify) {
         loop {
-            let done = tokio::select! {
-                done = self.round() => done,
+            let result = tokio::select! {
+                result = self.list_or_poll() => result,
                 () = refresh.notified() => {
                     self.revision = None;
                     self.backoff.reset();
                     continue;
                 }
             };
-            if done.is_err() {
+            if result.is_err() {
                 return;
             }
         }
     }
 
-    /// Makes one call and passes on what it brought; may be dropped at any time, if a list follows.
-    async fn round(&mut self) -> Result<(), ConsumerGone> {
-        let answer = match self.revision {
+    /// Lists or polls once and delivers the result. The future may be dropped at any time if the kind
+    /// is listed next.
+    async fn list_or_poll(&mut self) -> Result<(), ConsumerGone> {
+        let response = match self.revision {
             Some(revision) => self.poll(revision).await,
             None => self.list().await,
         };
-        match answer {
+        match response {
             Ok(update) => self.deliver(update).await,
-            Err(error) => self.pause(error).await,
+            Err(error) => self.back_off(error).await,
         }
     }
 
@@ -222,11 +228,11 @@
         let mut after: Option<String> = None;
         let mut first_revision = None;
         loop {
-            let path = (self.form.list_path)(self.form.kind, after.as_deref());
-            let body = self.client.read(CallKind::Read, self.form.kind, &path, 0).await?;
-            let page = (self.form.decode_list)(&body).map_err(|it| self.invalid(it))?;
+            let path = (self.protocol.list_path)(self.protocol.kind, after.as_deref());
+            let body = self.client.read(CallKind::Read, self.protocol.kind, &path, 0).await?;
+            let page = (self.protocol.decode_list)(&body).map_err(|it| self.invalid(it))?;
             items.extend(page.items);
-            // Changes between two pages are polled again from the revision of the first.
+            // Polling from the revision of the first page also delivers changes made between pages.
             let revision = *first_revision.get_or_insert(page.revision);
             match page.next {
                 Some(name) => after = Some(name),
@@ -237,16 +243,16 @@
 
     async fn poll(&mut self, revision: Revision) -> Result<PollUpdate<T>, PlatformError> {
         let wait_ms = self.settings.wait_ms;
-        let path = (self.form.poll_path)(self.form.kind, revision, wait_ms);
-        let body = self.client.read(CallKind::Watch, self.form.kind, &path, wait_ms).await?;
-        let changes = (self.form.decode_changes)(&body).map_err(|it| self.invalid(it))?;
+        let path = (self.protocol.poll_path)(self.protocol.kind, revision, wait_ms);
+        let body = self.client.read(CallKind::Watch, self.protocol.kind, &path, wait_ms).await?;
+        let changes = (self.protocol.decode_changes)(&body).map_err(|it| self.invalid(it))?;
         Ok(PollUpdate::Changes(changes))
     }
 
     async fn deliver(&mut self, update: PollUpdate<T>) -> Result<(), ConsumerGone> {
         self.backoff.reset();
         if !self.is_available {
-            info!(kind = self.form.kind; "platform available again");
+            info!(kind = self.protocol.kind; "platform available again");
             self.send(PollUpdate::Available).await?;
             self.is_available = true;
         }
@@ -258,19 +264,19 @@
         let has_changes = matches!(&update, PollUpdate::Changes(it) if !it.items.is_empty());
         self.send(update).await?;
         if has_changes {
-            tokio::time::sleep(Duration::from_millis(self.settings.gather_ms)).await;
+            tokio::time::sleep(Duration::from_millis(self.settings.coalesce_ms)).await;
         }
         Ok(())
     }
 
-    /// Waits after a failed call; the next round lists.
+    /// Waits after a failed call; the kind is listed next.
     ///
-    /// A poll that was cut may have heard nothing of changes before, and a platform that forgets its
-    /// history may let the next poll from the old revision wait instead of refusing it.
-    async fn pause(&mut self, error: PlatformError) -> Result<(), ConsumerGone> {
+    /// An interrupted poll may have missed earlier changes, and a platform that has lost its history
+    /// may hold a poll from the old revision open instead of refusing it.
+    async fn back_off(&mut self, error: PlatformError) -> Result<(), ConsumerGone> {
         self.revision = None;
         if matches!(error, PlatformError::Gone { .. }) {
-            info!(kind = self.form.kind; "history is gone, listing again");
+            info!(kind = self.protocol.kind; "revision is too old, listing again");
             return Ok(());
         }
         let retry_after_ms = match &error {
@@ -278,7 +284,7 @@
             _ => None,
         };
         if self.is_available {
-            warn!(kind = self.form.kind, error:% = error; "platform not available");
+            warn!(kind = self.protocol.kind, error:% = error; "platform unavailable");
             self.send(PollUpdate::Unavailable(error)).await?;
             self.is_available = false;
         }
@@ -291,7 +297,7 @@
     }
 
     fn invalid(&self, detail: String) -> PlatformError {
-        PlatformError::Invalid { object: self.form.kind.to_owned(), detail }
+        PlatformError::Invalid { object: self.protocol.kind.to_owned(), detail }
     }
 
     async fn send(&mut self, update: PollUpdate<T>) -> Result<(), ConsumerGone> {
--- a/crates/platform/src/poll_watchdog.rs
+++ b/crates/platform/src/poll_watchdog.rs
@@ -1,59 +1,63 @@
-//! When polls that wait may never be answered.
+//! Detection of long polls that may never receive a response.
 //!
-//! A platform that was silent for a while leaves polls unanswered on connections that live on. Short
-//! checks beside them show that, because each has to be answered at once.
+//! After an outage the platform may leave long polls without a response although their connections
+//! stay open. Short check calls detect this, because the platform has to respond to them immediately.
 
-/// Time between a check that was answered and the next, in milliseconds. A silence of twice that is
-/// always noticed, and is below the three seconds after which a platform counts as stable again.
+/// Delay after a successful check, in milliseconds. An outage of twice this delay is always detected,
+/// and twice this delay is shorter than the three seconds after which the platform counts as stable
+/// again.
 const CHECK_INTERVAL_MS: u64 = 1_000;
 
-/// Time between a check that failed and the next, in milliseconds; less than half of the two seconds in
-/// which changes have to be in force after the platform's return. Each failed check costs a whole call.
-const FAILED_INTERVAL_MS: u64 = 800;
+/// Delay after a failed check, in milliseconds; less than half of the two seconds within which changes
+/// have to take effect after the platform's return. Each failed check is billed as a full call.
+const RETRY_INTERVAL_MS: u64 = 800;
 
-/// Checks in a row without an answer that show an outage rather than answers lost now and then.
-const OUTAGE_CHECKS: u32 = 2;
+/// Consecutive failed checks that indicate an outage rather than the loss of single responses.
+const OUTAGE_FAILURES: u32 = 2;
 
-/// Time after a failed check in which other answers may be lost while checks succeed, in milliseconds:
-/// three checks in a row have to be answered.
-const ALERT_MS: u64 = 3 * CHECK_INTERVAL_MS;
+/// Time after a failed check during which other responses may be lost although checks succeed, in
+/// milliseconds; covers three consecutive successful checks.
+const LOSS_PERIOD_MS: u64 = 3 * CHECK_INTERVAL_MS;
 
-/// What follows from a check.
+/// Consequences of a check.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct CheckOutcome {
-    /// Whether polls that wait have to be broken off, and lists read again at once.
+    /// Whether long polls in progress have to be cancelled and the kinds listed again immediately.
     pub cancels_polls: bool,
-    /// Time until the next check, in milliseconds.
+    /// Delay until the next check, in milliseconds.
     pub next_check_ms: u64,
 }
 
-/// What the checks have shown.
+/// Decides from the results of the checks when to cancel long polls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollWatchdog {
-    /// Time of the last failed check, in milliseconds, until the alert after it is over.
+    /// Time of the last failed check, in milliseconds; `None` once responses count as reliable again.
     failed_ms: Option<u64>,
-    /// Checks in a row that failed.
+    /// Number of consecutive failed checks.
     failures: u32,
 }
 
 impl PollWatchdog {
-    /// Takes the outcome of a check at a time in milliseconds.
+    /// Records the result of a check at `now_ms`.
     ///
-    /// Polls are broken off at the first failure, so that the pollers notice it, and at the first answer
-    /// after one. Unless that was the end of an outage, other answers may be lost still, and polls are
-    /// broken off once more when the platform has answered for a while.
-    pub fn on_check(&mut self, is_answered: bool, now_ms: u64) -> CheckOutcome {
-        if !is_answered {
+    /// Polls are cancelled at the first failure, so that the pollers detect it, and at the first
+    /// success after failures. Unless that success ended an outage, other responses may still be lost,
+    /// so polls are cancelled once more when checks have succeeded for the loss period.
+    pub fn on_check(&mut self, is_successful: bool, now_ms: u64) -> CheckOutcome {
+        if !is_successful {
             self.failures += 1;
             let is_first = self.failed_ms.replace(now_ms).is_none();
-            return CheckOutcome { cancels_polls: is_first, next_check_ms: FAILED_INTERVAL_MS };
+            return CheckOutcome { cancels_polls: is_first, next_check_ms: RETRY_INTERVAL_MS };
         }
         let failures = std::mem::take(&mut self.failures);
-        let is_over = self.failed_ms.is_some_and(|it| now_ms >= it + ALERT_MS);
-        if is_over || failures >= OUTAGE_CHECKS {
+        let is_loss_period_over = self.failed_ms.is_some_and(|it| now_ms >= it + LOSS_PERIOD_MS);
+        if is_loss_period_over || failures >= OUTAGE_FAILURES {
             self.failed_ms = None;
         }
-        CheckOutcome { cancels_polls: is_over || failures > 0, next_check_ms: CHECK_INTERVAL_MS }
+        CheckOutcome {
+            cancels_polls: is_loss_period_over || failures > 0,
+            next_check_ms: CHECK_INTERVAL_MS,
+        }
     }
 }
 
--- a/crates/platform/src/poll_watchdog/tests.rs
+++ b/crates/platform/src/poll_watchdog/tests.rs
@@ -1,36 +1,36 @@
 use crate::poll_watchdog::PollWatchdog;
 
-/// Plays checks one after the other, by whether they are answered; returns what follows from each.
-fn play(answers: &[bool]) -> Vec<bool> {
-    let mut suspicion = PollWatchdog::default();
+/// Records checks by whether they succeed; returns for each whether it cancels polls.
+fn run_checks(results: &[bool]) -> Vec<bool> {
+    let mut watchdog = PollWatchdog::default();
     let mut now_ms = 0;
-    let mut breaks = Vec::new();
-    for &is_answered in answers {
-        let outcome = suspicion.on_check(is_answered, now_ms);
+    let mut cancellations = Vec::new();
+    for &is_successful in results {
+        let outcome = watchdog.on_check(is_successful, now_ms);
         now_ms += outcome.next_check_ms;
-        breaks.push(outcome.cancels_polls);
+        cancellations.push(outcome.cancels_polls);
     }
-    breaks
+    cancellations
 }
 
 #[test]
-fn polls_of_a_platform_that_answers_are_left_alone() {
-    assert!(!play(&[true; 60]).contains(&true));
+fn polls_are_not_cancelled_while_all_checks_succeed() {
+    assert!(!run_checks(&[true; 60]).contains(&true));
 }
 
 #[test]
-fn the_first_failure_breaks_polls_and_the_others_do_not() {
-    assert_eq!(play(&[true, false, false, false]), [false, true, false, false]);
+fn only_the_first_of_consecutive_failures_cancels_polls() {
+    assert_eq!(run_checks(&[true, false, false, false]), [false, true, false, false]);
 }
 
 #[test]
-fn polls_are_broken_on_the_return_from_an_outage() {
-    let answers = [false, false, true, true, true, true, true];
-    assert_eq!(play(&answers), [true, false, true, false, false, false, false]);
+fn first_success_after_an_outage_cancels_polls() {
+    let results = [false, false, true, true, true, true, true];
+    assert_eq!(run_checks(&results), [true, false, true, false, false, false, false]);
 }
 
 #[test]
-fn answers_lost_now_and_then_break_polls_after_each_and_after_the_last() {
-    let answers = [false, true, true, false, true, true, true, true, true];
-    assert_eq!(play(&answers), [true, true, false, false, true, false, false, true, false]);
+fn single_failures_cancel_polls_at_each_recovery_and_after_the_loss_period() {
+    let results = [false, true, true, false, true, true, true, true, true];
+    assert_eq!(run_checks(&results), [true, true, false, false, true, false, false, true, false]);
 }
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -7,15 +7,15 @@
 pub struct ClientSettings {
     /// Address of the platform's object API.
     pub address: SocketAddr,
-    /// Environment whose objects are read and written; it is the namespace in every path.
+    /// Environment whose objects are read and written; used as the namespace in all paths.
     pub environment: String,
-    /// Longest time for one call, from the first byte sent to the last byte read, in milliseconds.
+    /// Time-out of one call, from the first byte sent to the last byte read, in milliseconds.
     pub request_timeout_ms: u64,
-    /// Longest time to open a connection, in milliseconds.
+    /// Time-out for opening a connection, in milliseconds.
     pub connect_timeout_ms: u64,
-    /// Time after which the platform is asked to end a watch, in seconds.
+    /// Time after which the platform should end a watch, in seconds.
     pub watch_timeout_s: u64,
-    /// Limits on the rate of calls.
+    /// Rate limits of calls.
     pub budget: BudgetSettings,
 }
 
@@ -32,16 +32,17 @@
     }
 }
 
-/// Limits on the rate at which one process calls the platform.
+/// Rate limits of the calls of one process to the platform.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct BudgetSettings {
-    /// Single reads and lists, in calls per second.
+    /// Limit for reads and lists, in calls per second.
     pub reads_per_second: f64,
-    /// Creations, updates and deletions, in calls per second.
+    /// Limit for creations, updates and deletions, in calls per second.
     pub writes_per_second: f64,
-    /// Watches opened, in calls per second.
+    /// Limit for opening watches and long polls, in calls per second.
     pub watches_per_second: f64,
-    /// Longest time that a call waits for its turn before it is refused, in milliseconds.
+    /// Maximum time that the rate limit may delay a call, in milliseconds; a call that would have to
+    /// wait longer is refused.
     pub max_wait_ms: u64,
 }
 
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -1,4 +1,4 @@
-//! A stream of changes of one kind.
+//! Stream of the changes of one kind.
 
 use std::{io, marker::PhantomData, time::Duration};
 
@@ -15,11 +15,12 @@
 
 use crate::{
     Object, PlatformError, ResourceVersion,
-    answer::Exchange,
+    response::CallContext,
     wire::{Envelope, Status, VersionOnly},
 };
 
-/// Longest line of a watch, in bytes; an object may be escaped more widely than it was sent.
+/// Maximum length of a line of a watch, in bytes; larger than the limit for objects because the
+/// platform may use longer JSON escapes than the writer of the object.
 const MAX_LINE_BYTES: usize = 8 * 1024 * 1024;
 
 type Lines = FramedRead<StreamReader<BoxStream<'static, io::Result<Bytes>>, Bytes>, LinesCodec>;
@@ -29,16 +30,16 @@
 pub enum WatchEvent<T> {
     /// An object was created.
     Added(Object<T>),
-    /// An object was replaced.
+    /// The content of an object was replaced.
     Modified(Object<T>),
     /// An object was deleted; it carries its last content.
     Deleted(Object<T>),
-    /// Every change up to this version has been delivered.
+    /// All changes up to this version have been delivered.
     Bookmark(ResourceVersion),
 }
 
 impl<T> WatchEvent<T> {
-    /// Returns the version from which a later watch continues without a gap.
+    /// Returns the version from which another watch continues without missing a change.
     pub fn resource_version(&self) -> &ResourceVersion {
         match self {
             Self::Added(object) | Self::Modified(object) | Self::Deleted(object) => {
@@ -49,10 +50,10 @@
     }
 }
 
-/// One line of a watch in JSON.
+/// JSON representation of one line of a watch.
 #[derive(Deserialize)]
 #[serde(tag = "type", content = "object", rename_all = "UPPERCASE")]
-enum Line<T> {
+enum WatchLine<T> {
     Added(Envelope<T>),
     Modified(Envelope<T>),
     Deleted(Envelope<T>),
@@ -62,36 +63,37 @@
 
 /// An open watch.
 pub struct Watch<T> {
-    exchange: Exchange,
+    context: CallContext,
     lines: Lines,
-    end: Instant,
+    deadline: Instant,
     spec: PhantomData<fn() -> T>,
 }
 
 impl<T: DeserializeOwned> Watch<T> {
-    pub(crate) fn new(exchange: Exchange, body: Incoming, lifetime: Duration) -> Self {
+    pub(crate) fn new(context: CallContext, body: Incoming, lifetime: Duration) -> Self {
         let chunks = body.into_data_stream().map_err(io::Error::other).boxed();
         let codec = LinesCodec::new_with_max_length(MAX_LINE_BYTES);
         let lines = FramedRead::new(StreamReader::new(chunks), codec);
-        Self { exchange, lines, end: Instant::now() + lifetime, spec: PhantomData }
+        Self { context, lines, deadline: Instant::now() + lifetime, spec: PhantomData }
     }
 
-    /// Waits for the next change; `None` means that the platform ended the watch in order.
+    /// Waits for the next event; `None` means that the platform ended the watch regularly.
     ///
-    /// Dropping the future loses no change.
+    /// The method is cancel safe: dropping the future loses no event.
     ///
     /// # Errors
     ///
-    /// Returns `Gone` when the platform no longer holds the changes, `Unavailable` when the stream
-    /// breaks or outlives its time-out, and `Invalid` when a line does not follow the API.
+    /// Returns `Gone` when the platform no longer has the changes, `Unavailable` when the stream
+    /// breaks or has not ended by its time-out, and `Invalid` when a line does not conform to the
+    /// API.
     pub async fn next(&mut self) -> Result<Option<WatchEvent<T>>, PlatformError> {
-        let line = match tokio::time::timeout_at(self.end, self.lines.next()).await {
+        let line = match tokio::time::timeout_at(self.deadline, self.lines.next()).await {
             Ok(None) => return Ok(None),
             Ok(Some(Ok(line))) => line,
             Ok(Some(Err(error))) => {
-                return Err(self.exchange.unavailable(format!("watch cut: {error}"), None));
+                return Err(self.context.unavailable(format!("watch interrupted: {error}"), None));
             }
-            Err(_) => return Err(self.exchange.timed_out()),
+            Err(_) => return Err(self.context.timed_out()),
         };
         self.decode(&line).map(Some)
     }
@@ -103,27 +105,27 @@
 
     fn decode(&self, line: &str) -> Result<WatchEvent<T>, PlatformError> {
         let line = serde_json::from_str(line)
-            .map_err(|error| self.exchange.invalid(format!("watch event: {error}")))?;
+            .map_err(|error| self.context.invalid(format!("invalid watch event: {error}")))?;
         match line {
-            Line::Added(envelope) => Ok(WatchEvent::Added(self.object(envelope)?)),
-            Line::Modified(envelope) => Ok(WatchEvent::Modified(self.object(envelope)?)),
-            Line::Deleted(envelope) => Ok(WatchEvent::Deleted(self.object(envelope)?)),
-            Line::Bookmark(bookmark) => {
+            WatchLine::Added(envelope) => Ok(WatchEvent::Added(self.object(envelope)?)),
+            WatchLine::Modified(envelope) => Ok(WatchEvent::Modified(self.object(envelope)?)),
+            WatchLine::Deleted(envelope) => Ok(WatchEvent::Deleted(self.object(envelope)?)),
+            WatchLine::Bookmark(bookmark) => {
                 Ok(WatchEvent::Bookmark(bookmark.metadata.resource_version))
             }
-            Line::Error(status) => Err(self.failure(&status)),
+            WatchLine::Error(status) => Err(self.status_error(&status)),
         }
     }
 
     fn object(&self, envelope: Envelope<T>) -> Result<Object<T>, PlatformError> {
-        envelope.into_object().map_err(|detail| self.exchange.invalid(detail))
+        envelope.into_object().map_err(|detail| self.context.invalid(detail))
     }
 
-    fn failure(&self, status: &Status) -> PlatformError {
+    fn status_error(&self, status: &Status) -> PlatformError {
         if status.code == StatusCode::GONE.as_u16() {
-            return PlatformError::Gone { object: self.exchange.object.clone() };
+            return PlatformError::Gone { object: self.context.object.clone() };
         }
         let detail = format!("{} {}: {}", status.code, status.reason, status.message);
-        self.exchange.unavailable(detail, None)
+        self.context.unavailable(detail, None)
     }
 }
--- a/crates/platform/src/watcher.rs
+++ b/crates/platform/src/watcher.rs
@@ -1,4 +1,5 @@
-//! Keeps a consumer up to date with one kind: a list, then watches that resume where they ended.
+//! Keeps a consumer up to date with one kind by a list, followed by watches of which each resumes
+//! at the version where the previous one ended.
 
 use std::time::Duration;
 
@@ -15,11 +16,12 @@
 /// Settings of a [`Watcher`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct WatcherSettings {
-    /// Delays between failed calls.
+    /// Backoff after failed calls.
     pub backoff: BackoffSettings,
-    /// Time without any change or bookmark after which the kind is listed again, in milliseconds.
+    /// Time without a list, change or bookmark after which the kind is listed again, in milliseconds.
     pub max_silence_ms: u64,
-    /// Number of updates that wait for the consumer before the watcher pauses.
+    /// Number of updates that may be queued for the consumer; the watcher pauses while the queue is
+    /// full.
     pub queue: usize,
 }
 
@@ -29,10 +31,10 @@
     }
 }
 
-/// One update for the consumer of a [`Watcher`].
+/// Update for the consumer of a [`Watcher`].
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum WatchUpdate<T> {
-    /// The whole kind; objects that are not listed do not exist.
+    /// All objects of the kind; those that are not contained do not exist.
     Snapshot(Vec<Object<T>>),
     /// An object was created or replaced.
     Changed(Object<T>),
@@ -40,11 +42,11 @@
     Deleted(Object<T>),
     /// The platform cannot be reached; updates may be missing until it is available again.
     Unavailable(PlatformError),
-    /// The platform can be reached again; the updates that follow leave no gap.
+    /// The platform can be reached again; the updates that follow cover everything since.
     Available,
 }
 
-/// A task that follows one kind.
+/// Handle of a task that watches one kind.
 #[derive(Debug)]
 pub struct Watcher {
     cancel: CancellationToken,
@@ -52,7 +54,7 @@
 }
 
 impl Watcher {
-    /// Starts to follow a kind and returns the updates in order.
+    /// Starts to watch a kind; the receiver delivers the updates in order.
     ///
     /// The watcher stops when `cancel` is cancelled or the receiver is dropped.
     pub fn start<T>(
@@ -66,20 +68,20 @@
     {
         let (updates, receiver) = mpsc::channel(settings.queue);
         let cancel = cancel.child_token();
-        let follower = Follower {
+        let watch_task = WatchTask {
             client,
             kind,
             settings,
             updates,
             backoff: Backoff::new(settings.backoff),
             version: None,
-            heard_at: Instant::now(),
+            last_update_at: Instant::now(),
             is_available: true,
         };
         let stop = cancel.clone();
         let task = tokio::spawn(async move {
-            // Both a cancelled and a finished follower need nothing more.
-            let _ = stop.run_until_cancelled(follower.run()).await;
+            // No cleanup is needed, whether the task was cancelled or has finished.
+            let _ = stop.run_until_cancelled(watch_task.run()).await;
         });
         (Self { cancel, task }, receiver)
     }
@@ -89,54 +91,54 @@
         self.task.is_finished()
     }
 
-    /// Stops the watcher and waits until it has closed its connection.
+    /// Stops the watcher and waits until its connection is closed.
     pub async fn close(self) {
         self.cancel.cancel();
-        // The runtime reports a panic of the task by itself.
+        // A panic of the task has already been reported by the panic hook.
         let _ = self.task.await;
     }
 }
 
-struct Follower<T> {
+struct WatchTask<T> {
     client: Client,
     kind: Kind,
     settings: WatcherSettings,
     updates: mpsc::Sender<WatchUpdate<T>>,
     backoff: Backoff,
-    /// Version up to which every change was delivered; none before the first list.
+    /// Version up to which all changes have been delivered; `None` if the kind has to be listed.
     version: Option<ResourceVersion>,
     /// Time of the last list, change or bookmark.
-    heard_at: Instant,
+    last_update_at: Instant,
     is_available: bool,
 }
 
-/// Why a round ended early.
+/// Why a list or watch ended early.
 #[derive(From)]
 enum Interruption {
-    /// The consumer has dropped its receiver.
+    /// The consumer has dropped the receiver.
     ConsumerGone,
     /// A call failed.
     Failed(PlatformError),
 }
 
-impl<T: DeserializeOwned> Follower<T> {
+impl<T: DeserializeOwned> WatchTask<T> {
     async fn run(mut self) {
         loop {
-            let interruption = match self.round().await {
+            let interruption = match self.list_and_watch().await {
                 Ok(()) => continue,
                 Err(interruption) => interruption,
             };
             let Interruption::Failed(error) = interruption else { return };
-            if self.pause(error).await.is_err() {
+            if self.back_off(error).await.is_err() {
                 return;
             }
         }
     }
 
-    /// Lists if needed, then follows one watch to its end.
-    async fn round(&mut self) -> Result<(), Interruption> {
+    /// Lists the kind if needed, then delivers the events of one watch until it ends.
+    async fn list_and_watch(&mut self) -> Result<(), Interruption> {
         let max_silence = Duration::from_millis(self.settings.max_silence_ms);
-        if self.heard_at.elapsed() >= max_silence {
+        if self.last_update_at.elapsed() >= max_silence {
             self.version = None;
         }
         let version = match self.version.clone() {
@@ -158,7 +160,7 @@
         self.mark_available().await?;
         self.send(WatchUpdate::Snapshot(list.objects)).await?;
         self.version = Some(list.resource_version.clone());
-        self.heard_at = Instant::now();
+        self.last_update_at = Instant::now();
         Ok(list.resource_version)
     }
 
@@ -172,7 +174,7 @@
             WatchEvent::Bookmark(_) => {}
         }
         self.version = Some(version);
-        self.heard_at = Instant::now();
+        self.last_update_at = Instant::now();
         self.backoff.reset();
         Ok(())
     }
@@ -186,18 +188,19 @@
         self.send(WatchUpdate::Available).await
     }
 
-    /// Waits after a failed call; the next round resumes, or lists when the platform forgot.
-    async fn pause(&mut self, error: PlatformError) -> Result<(), Interruption> {
+    /// Waits after a failed call. The next watch resumes at the last version, or follows a new list if
+    /// the platform no longer has the changes.
+    async fn back_off(&mut self, error: PlatformError) -> Result<(), Interruption> {
         let retry_after_ms = match &error {
             PlatformError::Unavailable { retry_after_ms, .. } => *retry_after_ms,
             _ => None,
         };
         if matches!(error, PlatformError::Gone { .. }) {
-            info!(kind = self.kind.plural(); "watch is too old, listing again");
+            info!(kind = self.kind.plural(); "watch version is too old, listing again");
             self.version = None;
         } else if self.is_available {
             self.is_available = false;
-            warn!(kind = self.kind.plural(), error:% = error; "platform not available");
+            warn!(kind = self.kind.plural(), error:% = error; "platform unavailable");
             self.send(WatchUpdate::Unavailable(error)).await?;
         }
         let delay = self.backoff.fail(retry_after_ms, rand::random());
--- a/crates/platform/src/wire.rs
+++ b/crates/platform/src/wire.rs
@@ -1,19 +1,19 @@
-//! JSON forms and paths of the object API.
+//! JSON representation and paths of the object API.
 
 use serde::{Deserialize, Serialize};
 
 use crate::{Kind, Object, PlatformError, ResourceVersion};
 
-/// Value of the `apiVersion` member of every object.
+/// Value of the `apiVersion` member of all objects.
 pub const API_VERSION: &str = "yuccatrail.dev/v1";
 
-/// Largest encoded object that the platform takes, in bytes.
+/// Maximum size of an encoded object that the platform accepts, in bytes.
 pub const MAX_VALUE_BYTES: usize = 1_000_000;
 
-/// Longest name of an object or namespace, in bytes.
+/// Maximum length of the name of an object or namespace, in bytes.
 const MAX_NAME_BYTES: usize = 253;
 
-/// An object in JSON.
+/// JSON representation of an object.
 #[derive(Debug, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Envelope<T> {
@@ -23,7 +23,7 @@
     pub(crate) spec: T,
 }
 
-/// Metadata of an object in JSON.
+/// JSON representation of an object's metadata.
 #[derive(Debug, Default, Serialize, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Metadata {
@@ -34,7 +34,7 @@
     pub(crate) resource_version: Option<ResourceVersion>,
 }
 
-/// A list of objects in JSON.
+/// JSON representation of a list of objects.
 #[derive(Debug, Deserialize)]
 #[serde(bound = "T: serde::de::DeserializeOwned")]
 pub(crate) struct ListEnvelope<T> {
@@ -42,20 +42,20 @@
     pub(crate) items: Vec<Envelope<T>>,
 }
 
-/// Metadata of a list, a bookmark or any other object of which only the version matters.
+/// Metadata of a list or a bookmark, of which only the version is used.
 #[derive(Debug, Deserialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct ListMetadata {
     pub(crate) resource_version: ResourceVersion,
 }
 
-/// An object of which only the version matters.
+/// An object of which only the version is used.
 #[derive(Debug, Deserialize)]
 pub(crate) struct VersionOnly {
     pub(crate) metadata: ListMetadata,
 }
 
-/// A failure in JSON.
+/// JSON representation of an error.
 #[derive(Debug, Default, Deserialize)]
 #[serde(default)]
 pub(crate) struct Status {
@@ -64,7 +64,7 @@
     pub(crate) message: String,
 }
 
-/// Conditions of a deletion in JSON.
+/// JSON representation of the options of a deletion.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct DeleteOptions<'a> {
@@ -73,7 +73,7 @@
     pub(crate) preconditions: Preconditions<'a>,
 }
 
-/// Version that an object has to have for a deletion.
+/// Version that the object has to have for the deletion to succeed.
 #[derive(Debug, Serialize)]
 #[serde(rename_all = "camelCase")]
 pub(crate) struct Preconditions<'a> {
@@ -81,10 +81,10 @@
 }
 
 impl<T> Envelope<T> {
-    /// Converts to the public form; an answer without a version breaks the API.
+    /// Converts to the public type; fails if the object has no version, which violates the API.
     pub(crate) fn into_object(self) -> Result<Object<T>, String> {
         let Some(resource_version) = self.metadata.resource_version else {
-            return Err(format!("object {} carries no resourceVersion", self.metadata.name));
+            return Err(format!("object {} has no resourceVersion", self.metadata.name));
         };
         Ok(Object { name: self.metadata.name, resource_version, spec: self.spec })
     }
@@ -106,14 +106,14 @@
     Ok(format!("{}/{name}", collection_path(environment, kind)?))
 }
 
-/// Checks that a name is a lower-case DNS name, so that it stands in a path as it is.
+/// Checks that a name is a lower-case DNS name, which needs no escaping in a path.
 fn check_name(what: &str, name: &str) -> Result<(), PlatformError> {
-    let allowed = |byte: u8| {
+    let is_allowed = |byte: u8| {
         byte.is_ascii_lowercase() || byte.is_ascii_digit() || byte == b'-' || byte == b'.'
     };
     let ends_alphanumeric = name.as_bytes().first().is_some_and(u8::is_ascii_alphanumeric)
         && name.as_bytes().last().is_some_and(u8::is_ascii_alphanumeric);
-    if name.len() <= MAX_NAME_BYTES && ends_alphanumeric && name.bytes().all(allowed) {
+    if name.len() <= MAX_NAME_BYTES && ends_alphanumeric && name.bytes().all(is_allowed) {
         return Ok(());
     }
     Err(PlatformError::Invalid {
