--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -1,4 +1,4 @@
-//! Health and metrics endpoint of the agent.
+//! HTTP endpoint for health, readiness and metrics of the agent.
 
 use std::sync::Arc;
 
@@ -8,13 +8,13 @@
 use tokio_util::sync::CancellationToken;
 use yuccatrail_runtime::http::{self, Body, METRICS_CONTENT_TYPE, respond};
 
-/// What the endpoint shows.
+/// State that the endpoint reports.
 #[derive(Clone)]
 pub(crate) struct Admin {
-    /// All metrics.
+    /// Registry of the agent's metrics.
     pub(crate) registry: Arc<Registry>,
-    /// Cancelled once a planned stop begins.
-    pub(crate) stop: CancellationToken,
+    /// Cancelled once a graceful shutdown begins.
+    pub(crate) shutdown: CancellationToken,
 }
 
 /// Serves the endpoint until `finished` is cancelled.
@@ -25,7 +25,7 @@
 async fn handle(admin: Admin, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         "/healthz" => respond(StatusCode::OK, "text/plain", "ok\n"),
-        "/readyz" if admin.stop.is_cancelled() => {
+        "/readyz" if admin.shutdown.is_cancelled() => {
             respond(StatusCode::SERVICE_UNAVAILABLE, "text/plain", "stopping\n")
         }
         "/readyz" => respond(StatusCode::OK, "text/plain", "ready\n"),
--- a/crates/agent/src/executor.rs
+++ b/crates/agent/src/executor.rs
@@ -1,4 +1,4 @@
-//! Runs attempts on the upstream and keeps their output for the entries.
+//! Execution of attempts on the upstream, whose output entries read by polling.
 
 use std::{
     sync::{Arc, Mutex, MutexGuard, PoisonError},
@@ -25,66 +25,66 @@
 use crate::{
     listed::Listed,
     metrics::Metrics,
-    upstream::{AnswerHead, CallError, RunClient, UpstreamClient},
+    upstream::{BootClient, CallError, ResponseHead, UpstreamClient},
 };
 
-/// Largest size of the output in one reply, in bytes.
+/// Maximum size of the output in one reply, in bytes.
 const MAX_PAGE_BYTES: usize = 256 * 1024;
-/// Longest time for which the loss of an answer is kept back until a probe settles its cause.
-const LOSS_SETTLE_LIMIT: Duration = Duration::from_millis(1000);
-/// Time between two probes after a loss.
-const LOSS_PROBE_INTERVAL: Duration = Duration::from_millis(5);
+/// Longest delay of reporting a lost response while probes determine whether the upstream crashed.
+const CRASH_DETECTION_TIMEOUT: Duration = Duration::from_millis(1000);
+/// Interval between probes after a lost response.
+const CRASH_PROBE_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Time for which output is gathered before it is sent, so that a fast stream needs few calls.
-const GATHER_TIME: Duration = Duration::from_millis(20);
+/// Time for which further output is collected before a reply, so that fast streams need few calls.
+const COALESCE_TIME: Duration = Duration::from_millis(20);
 
-/// Everything that the agent's decisions and tasks share.
+/// State shared by the tasks of the executor.
 struct State {
     core: AgentCore,
     /// Calls of attempts that wait for dispatch.
-    calls: FastMap<AttemptId, PendingCall>,
-    /// Wakes the readers of attempts that have not ended.
-    changed: FastMap<AttemptId, Arc<Notify>>,
-    /// Cuts running calls that may be cut.
-    cuts: FastMap<AttemptKey, CancellationToken>,
-    /// Ended attempts whose end no entry has read yet.
+    pending_calls: FastMap<AttemptId, PendingCall>,
+    /// Notifies readers of attempts that have not ended about changes.
+    notifiers: FastMap<AttemptId, Arc<Notify>>,
+    /// Abort those running calls that may be aborted.
+    abort_tokens: FastMap<AttemptKey, CancellationToken>,
+    /// Attempts that have ended and whose final state no entry has read yet.
     unread: FastSet<AttemptId>,
-    /// State of the upstream in the instance list.
+    /// State of the upstream in the platform's instance list.
     listed: Listed,
-    /// Whether a probe that attempts wait for is under way.
-    probing: bool,
-    /// Whether the upstream counted as cold when that was logged last.
+    /// Whether a probe on which queued attempts wait is in progress.
+    is_probing: bool,
+    /// Value of the last logged cold state.
     logged_cold: bool,
 }
 
 impl State {
-    /// Passes a change of the listed state on to the core.
+    /// Applies a change of the upstream's state in the instance list to the core.
     fn set_listed(&mut self, change: Option<(u64, InstanceState)>, now_ms: u64) {
         let Some((version, state)) = change else { return };
         info!(version = version; "upstream listed as {state:?}");
         self.core.set_listed(version, state, now_ms);
     }
 
-    /// Logs when the upstream turned cold or warm.
-    fn log_warmth(&mut self) {
+    /// Logs when the upstream has become cold or warm.
+    fn log_cold_change(&mut self) {
         let load = self.core.load();
         if load.cold == self.logged_cold {
             return;
         }
         self.logged_cold = load.cold;
         let (running, limit, doubts_probes) = (load.running, load.limit, self.core.doubts_probes());
-        info!(cold = load.cold, running = running, limit = limit, doubts_probes = doubts_probes; "upstream's warmth changed");
+        info!(cold = load.cold, running = running, limit = limit, doubts_probes = doubts_probes; "upstream's cold state changed");
     }
 }
 
 /// Call of an attempt that waits for dispatch.
 struct PendingCall {
     call: UpstreamCall,
-    /// Whether the call may be cut at the upstream when it is cancelled.
-    may_cut: bool,
+    /// Whether the call may be aborted at the upstream when the attempt is cancelled.
+    may_abort: bool,
 }
 
-/// Runs attempts on one upstream.
+/// Runs attempts on the agent's upstream.
 pub(crate) struct Executor {
     incarnation: Incarnation,
     clock: Clock,
@@ -95,7 +95,7 @@
 }
 
 impl Executor {
-    /// Creates an executor with no work.
+    /// Creates an executor without attempts.
     pub(crate) fn new(
         incarnation: Incarnation,
         clock: Clock,
@@ -106,12 +106,12 @@
     ) -> Arc<Self> {
         let state = State {
             core,
-            calls: FastMap::default(),
-            changed: FastMap::default(),
-            cuts: FastMap::default(),
+            pending_calls: FastMap::default(),
+            notifiers: FastMap::default(),
+            abort_tokens: FastMap::default(),
             unread: FastSet::default(),
             listed: Listed::default(),
-            probing: false,
+            is_probing: false,
             logged_cold: true,
         };
         Arc::new(Self { incarnation, clock, upstream, control, metrics, state: Mutex::new(state) })
@@ -128,20 +128,20 @@
             if is_changed {
                 self.control.with(|it| state.core.set_control(it, now_ms));
             }
-            let listed = state.listed.hear(request.is_listed_leaving, now_ms);
+            let listed = state.listed.on_report(request.is_listed_leaving, now_ms);
             state.set_listed(listed, now_ms);
             state.core.merge_strikes(&request.strikes, now_ms);
-            let holds_all = !request.versions.has_newer_than(self.control.versions());
-            if let Some(sent_ms) = self.echoed_ms(request.echo)
+            let is_up_to_date = !request.versions.has_newer_than(self.control.versions());
+            if let Some(sent_ms) = self.echoed_reply_ms(request.echo)
                 && let Some(age_ms) = request.ages.operations_ms
-                && holds_all
+                && is_up_to_date
             {
                 state.core.confirm_control(sent_ms, age_ms);
             }
-            sync_again = state.core.should_sync_again(!holds_all, now_ms);
-            self.wake(&mut state);
+            sync_again = state.core.should_sync_again(!is_up_to_date, now_ms);
+            self.notify_readers(&mut state);
         }
-        self.start_ready();
+        self.dispatch_ready();
         SyncReply {
             lacks_instances: false,
             feedback: self.feedback(),
@@ -151,7 +151,7 @@
         }
     }
 
-    /// Accepts or refuses an attempt and waits for its first output.
+    /// Accepts or refuses an attempt; waits for its first output if it is accepted.
     pub(crate) async fn submit(self: &Arc<Self>, request: SubmitRequest) -> AttemptReply {
         let attempt = request.attempt;
         let versions = request.versions;
@@ -162,42 +162,42 @@
         if let Some(state) = self.accept(request) {
             return self.reply(attempt, versions, state);
         }
-        self.start_ready();
-        let state = self.wait_output(attempt, 0, wait).await;
+        self.dispatch_ready();
+        let state = self.wait_for_output(attempt, 0, wait).await;
         self.reply(attempt, versions, state)
     }
 
-    /// Reads an attempt's output, waiting for more if there is none yet.
+    /// Reads the output of an attempt from a sequence number on, and waits if there is none yet.
     pub(crate) async fn read(&self, request: ReadRequest) -> AttemptReply {
         let (attempt, versions) = (request.attempt, request.versions);
         if request.agent != self.incarnation {
             return self.reply(attempt, versions, AttemptState::Unknown);
         }
         let wait = Duration::from_millis(request.wait_ms);
-        let state = self.wait_output(attempt, request.from_sequence, wait).await;
+        let state = self.wait_for_output(attempt, request.from_sequence, wait).await;
         self.reply(attempt, versions, state)
     }
 
-    /// Cancels an attempt and cuts its call if it runs and may be repeated.
+    /// Cancels an attempt, and aborts its call if that is running and may be repeated.
     pub(crate) fn cancel(&self, request: &CancelRequest) -> AttemptReply {
         let now_ms = self.clock.now_ms();
         let mut state = self.lock();
         let (lookup, running) =
             state.core.cancel(request.attempt, request.agent, request.dispatch_by_ms, now_ms);
-        // A call that is cut burdens its upstream until that notices, so a cold one finishes it.
-        let may_cut = !state.core.load().cold;
-        let cut = running.and_then(|it| state.cuts.get(&it));
-        if let Some(cut) = cut.filter(|_| may_cut) {
-            cut.cancel();
+        // An aborted call loads the upstream until it notices the abort; a cold one completes it.
+        let may_abort = !state.core.load().cold;
+        let abort = running.and_then(|it| state.abort_tokens.get(&it));
+        if let Some(abort) = abort.filter(|_| may_abort) {
+            abort.cancel();
         }
         state.unread.remove(&request.attempt);
-        self.wake(&mut state);
+        self.notify_readers(&mut state);
         drop(state);
         info!(attempt:% = request.attempt, running = running.is_some(); "attempt cancelled");
         self.reply(request.attempt, request.versions, attempt_state(lookup))
     }
 
-    /// Does the periodic work.
+    /// Does the periodic work; see [`AgentCore::tick`].
     pub(crate) fn tick(self: &Arc<Self>) {
         let mut state = self.lock();
         let now_ms = self.clock.now_ms();
@@ -205,18 +205,18 @@
         state.set_listed(listed, now_ms);
         state.core.tick(now_ms);
         let State { core, unread, .. } = &mut *state;
-        // An entry that is gone reads nothing any more.
+        // An entry that no longer exists never reads its attempts.
         unread.retain(|it| core.has_record(*it));
-        self.wake(&mut state);
-        self.metrics.observe_load(state.core.load());
+        self.notify_readers(&mut state);
+        self.metrics.set_load(state.core.load());
         drop(state);
-        self.start_ready();
+        self.dispatch_ready();
     }
 
-    /// Probes the upstream once and starts what its answer allows.
+    /// Probes the upstream once, then dispatches the attempts that the result allows.
     pub(crate) async fn probe(self: &Arc<Self>) {
         self.probe_upstream().await;
-        self.start_ready();
+        self.dispatch_ready();
     }
 
     async fn probe_upstream(&self) {
@@ -224,32 +224,32 @@
         let result = self.upstream.probe().await;
         let strikes = {
             let mut state = self.lock();
-            // Both change together, so that no call goes to a run that the decision did not know.
-            if let ProbeResult::Answered { boot_id: Some(run), .. } = result {
-                self.upstream.set_run(run);
+            // One lock for both, so that no call reaches a boot unknown to its dispatch decision.
+            if let ProbeResult::Answered { boot_id: Some(boot_id), .. } = result {
+                self.upstream.set_boot_id(boot_id);
             }
             state.core.on_probe(ticket, result, self.clock.now_ms())
         };
         for strike in strikes {
             self.metrics.strikes.inc();
-            info!(fingerprint:% = strike.fingerprint, alone = strike.alone, stop = strike.number; "upstream stopped with a request in progress");
+            info!(fingerprint:% = strike.fingerprint, alone = strike.alone, stop = strike.number; "upstream crashed with a request in progress");
         }
     }
 
-    /// Begins a planned stop: new work is refused and queued work handed back.
-    pub(crate) fn stop(&self) {
+    /// Begins a graceful shutdown: new attempts and queued attempts are refused as not run.
+    pub(crate) fn begin_shutdown(&self) {
         let mut state = self.lock();
         state.core.stop(self.clock.now_ms());
-        self.wake(&mut state);
+        self.notify_readers(&mut state);
     }
 
-    /// Returns the number of attempts that have not ended, and of ends that no entry has read.
+    /// Returns the numbers of attempts in progress and of ended ones that no entry has read.
     pub(crate) fn remaining(&self) -> (u32, usize) {
         let state = self.lock();
         (state.core.in_progress_count(), state.unread.len())
     }
 
-    /// Describes the agent's state.
+    /// Returns the state of the agent that is part of each reply.
     pub(crate) fn feedback(&self) -> Feedback {
         let now_ms = self.clock.now_ms();
         let state = self.lock();
@@ -262,10 +262,10 @@
         }
     }
 
-    /// Hands an attempt to the core; returns its state if it is not waiting or running.
+    /// Submits an attempt to the core; returns its state unless it was accepted.
     fn accept(&self, request: SubmitRequest) -> Option<AttemptState> {
         let attempt = request.attempt;
-        let order = Submission {
+        let submission = Submission {
             attempt,
             agent: request.agent,
             pool: request.pool,
@@ -277,162 +277,165 @@
             estimate_ms: request.estimate_ms,
         };
         let mut state = self.lock();
-        let lookup = state.core.submit(&order, self.clock.now_ms());
+        let lookup = state.core.submit(&submission, self.clock.now_ms());
         match lookup {
             AttemptLookup::Accepted(_) => {}
             refused => {
                 if let AttemptLookup::NotRun(refusal) = &refused {
-                    self.metrics.refused(refusal.reason);
+                    self.metrics.count_refused(refusal.reason);
                     info!(attempt:% = attempt, reason:% = refusal.reason; "attempt refused");
                 }
-                self.wake(&mut state);
+                self.notify_readers(&mut state);
                 return Some(attempt_state(refused));
             }
         }
-        // A repeated submit joins the attempt, whose call is kept or already gone.
-        if !state.changed.contains_key(&attempt) && state.core.is_waiting(attempt) {
-            let pending = PendingCall { call: request.call, may_cut: request.idempotent };
-            state.calls.insert(attempt, pending);
-            state.changed.insert(attempt, Arc::new(Notify::new()));
+        // A repeated submit refers to the same attempt, whose call is stored or already dispatched.
+        if !state.notifiers.contains_key(&attempt) && state.core.is_waiting(attempt) {
+            let pending = PendingCall { call: request.call, may_abort: request.idempotent };
+            state.pending_calls.insert(attempt, pending);
+            state.notifiers.insert(attempt, Arc::new(Notify::new()));
         }
-        self.wake(&mut state);
+        self.notify_readers(&mut state);
         None
     }
 
-    /// Starts every attempt that may start now, and the probe that others wait for.
-    fn start_ready(self: &Arc<Self>) {
+    /// Dispatches all attempts that may start now, and starts the probe on which others wait.
+    fn dispatch_ready(self: &Arc<Self>) {
         let mut state = self.lock();
         while let Some(dispatch) = state.core.next(self.clock.now_ms()) {
-            let Some(pending) = state.calls.remove(&dispatch.attempt) else {
+            let Some(pending) = state.pending_calls.remove(&dispatch.attempt) else {
                 state.core.on_end(dispatch.key, &CallResult::Cancelled, self.clock.now_ms());
                 continue;
             };
-            let cut = CancellationToken::new();
-            if pending.may_cut {
-                state.cuts.insert(dispatch.key, cut.clone());
+            let abort = CancellationToken::new();
+            if pending.may_abort {
+                state.abort_tokens.insert(dispatch.key, abort.clone());
             }
             self.metrics.dispatched.inc();
             info!(attempt:% = dispatch.attempt, path:% = pending.call.path, queued_ms = dispatch.queued_ms; "dispatching to upstream");
-            let run = self.upstream.current_run();
-            tokio::spawn(self.clone().run(dispatch, run, pending.call, cut));
+            let client = self.upstream.current_boot();
+            tokio::spawn(self.clone().run_call(dispatch, client, pending.call, abort));
         }
-        self.wake(&mut state);
-        if state.core.needs_probe() && !state.probing {
-            state.probing = true;
+        self.notify_readers(&mut state);
+        if state.core.needs_probe() && !state.is_probing {
+            state.is_probing = true;
             tokio::spawn(self.clone().probe_on_demand());
         }
     }
 
     async fn probe_on_demand(self: Arc<Self>) {
         self.probe_upstream().await;
-        self.lock().probing = false;
-        self.start_ready();
+        self.lock().is_probing = false;
+        self.dispatch_ready();
     }
 
-    async fn run(
+    /// Makes the call of a dispatched attempt and records its output and result.
+    async fn run_call(
         self: Arc<Self>,
         dispatch: Dispatch,
-        client: RunClient,
+        client: BootClient,
         call: UpstreamCall,
-        cut: CancellationToken,
+        abort: CancellationToken,
     ) {
         let on_chunk = |chunk| {
             let mut state = self.lock();
             state.core.push_chunk(dispatch.key, chunk);
-            self.wake(&mut state);
+            self.notify_readers(&mut state);
         };
-        let answer = tokio::select! {
-            answer = client.call(dispatch.attempt, call, on_chunk) => Some(answer),
-            () = cut.cancelled() => None,
+        let response = tokio::select! {
+            response = client.call(dispatch.attempt, call, on_chunk) => Some(response),
+            () = abort.cancelled() => None,
         };
-        let result = match answer {
-            Some(answer) => call_result(answer),
+        let result = match response {
+            Some(response) => call_result(response),
             None => CallResult::Cancelled,
         };
         if result == CallResult::Lost {
             self.lock().core.on_lost();
-            // The strikes of a stop have to be known before an entry learns of the loss.
-            let settled = tokio::time::timeout(LOSS_SETTLE_LIMIT, self.settle_loss());
-            if settled.await.is_err() {
-                info!(attempt:% = dispatch.attempt; "no probe settled the loss of an answer");
+            // The strikes of a crash have to be known before an entry learns of the lost response.
+            let detected = tokio::time::timeout(CRASH_DETECTION_TIMEOUT, self.detect_crash());
+            if detected.await.is_err() {
+                info!(attempt:% = dispatch.attempt; "response lost; no probe determined in time whether the upstream crashed");
             }
         }
         self.finish(dispatch, &result);
-        self.start_ready();
+        self.dispatch_ready();
     }
 
-    /// Probes the upstream until it is known whether it stopped.
-    async fn settle_loss(self: &Arc<Self>) {
+    /// Probes the upstream until it is known whether it crashed.
+    async fn detect_crash(self: &Arc<Self>) {
         loop {
             self.probe().await;
             if !self.lock().core.is_crash_suspected() {
                 return;
             }
-            tokio::time::sleep(LOSS_PROBE_INTERVAL).await;
+            tokio::time::sleep(CRASH_PROBE_INTERVAL).await;
         }
     }
 
+    /// Records the result of a call.
     fn finish(&self, dispatch: Dispatch, result: &CallResult) {
         let mut state = self.lock();
-        state.cuts.remove(&dispatch.key);
+        state.abort_tokens.remove(&dispatch.key);
         state.core.on_end(dispatch.key, result, self.clock.now_ms());
-        self.metrics.ended(result);
+        self.metrics.count_ended(result);
         if *result != CallResult::Cancelled {
             state.unread.insert(dispatch.attempt);
         }
-        self.wake(&mut state);
+        self.notify_readers(&mut state);
     }
 
-    /// Waits for output from `from` on; further output is gathered for a moment, except the first.
-    async fn wait_output(&self, attempt: AttemptId, from: u64, wait: Duration) -> AttemptState {
-        let mut until = Instant::now() + wait;
-        let mut gathers = false;
+    /// Waits for output from sequence number `from` on, and then collects further output for the
+    /// coalesce time unless it is the first output of the attempt.
+    async fn wait_for_output(&self, attempt: AttemptId, from: u64, wait: Duration) -> AttemptState {
+        let mut deadline = Instant::now() + wait;
+        let mut is_coalescing = false;
         loop {
             let changed = {
                 let mut state = self.lock();
                 let lookup = state.core.read(attempt, from, MAX_PAGE_BYTES);
-                let notify = state.changed.get(&attempt).cloned();
-                let output = output_of(&lookup);
-                let is_over = output == Output::Ended || Instant::now() >= until;
-                let is_first = output == Output::New && from == 0;
-                let (false, false, Some(notify)) = (is_over, is_first, notify) else {
-                    note_read(&mut state, attempt, &lookup);
+                let notify = state.notifiers.get(&attempt).cloned();
+                let output = output_state(&lookup);
+                let is_done = output == OutputState::Ended || Instant::now() >= deadline;
+                let is_first = output == OutputState::New && from == 0;
+                let (false, false, Some(notify)) = (is_done, is_first, notify) else {
+                    record_read(&mut state, attempt, &lookup);
                     return attempt_state(lookup);
                 };
-                if output == Output::New && !gathers {
-                    gathers = true;
-                    until = until.min(Instant::now() + GATHER_TIME);
+                if output == OutputState::New && !is_coalescing {
+                    is_coalescing = true;
+                    deadline = deadline.min(Instant::now() + COALESCE_TIME);
                 }
                 notify.notified_owned()
             };
-            // The next look tells whether there is news or the time is over.
-            let _ = tokio::time::timeout_at(until, changed).await;
+            // The next iteration checks whether there is output or the deadline has passed.
+            let _ = tokio::time::timeout_at(deadline, changed).await;
         }
     }
 
-    /// Wakes the readers of changed attempts and lets go of what ended attempts no longer need.
-    fn wake(&self, state: &mut State) {
-        state.log_warmth();
+    /// Notifies the readers of changed attempts, and removes the resources of ended attempts.
+    fn notify_readers(&self, state: &mut State) {
+        state.log_cold_change();
         for attempt in state.core.take_changed() {
-            if let Some(notify) = state.changed.get(&attempt) {
+            if let Some(notify) = state.notifiers.get(&attempt) {
                 notify.notify_waiters();
             }
             if state.core.is_in_progress(attempt) {
                 continue;
             }
-            state.changed.remove(&attempt);
-            state.calls.remove(&attempt);
+            state.notifiers.remove(&attempt);
+            state.pending_calls.remove(&attempt);
         }
     }
 
-    /// Returns the age of the agent's control state, as far as it is known.
+    /// Returns the control state's age; the agent does not track that of the environment document.
     fn ages(&self) -> Ages {
         let operations_ms = self.lock().core.control_age_ms(self.clock.now_ms());
         Ages { config_ms: None, operations_ms }
     }
 
-    /// Returns the time of the reply that a request follows, if it was made by this run.
-    fn echoed_ms(&self, echo: Option<Echo>) -> Option<u64> {
+    /// Returns the time of the reply that `echo` identifies, if this incarnation sent it.
+    fn echoed_reply_ms(&self, echo: Option<Echo>) -> Option<u64> {
         let echo = echo?;
         (echo.incarnation == self.incarnation).then_some(echo.now_ms)
     }
@@ -450,28 +453,28 @@
     }
 }
 
-/// What a look at an attempt found.
+/// Whether a lookup of an attempt found new output.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-enum Output {
-    /// Nothing new.
+enum OutputState {
+    /// No new output yet.
     None,
-    /// New chunks of an attempt that goes on.
+    /// New chunks of an attempt that has not ended.
     New,
-    /// The attempt has ended or is not known.
+    /// The attempt has ended, was not run or is unknown.
     Ended,
 }
 
-fn output_of(lookup: &AttemptLookup) -> Output {
-    let AttemptLookup::Accepted(page) = lookup else { return Output::Ended };
+fn output_state(lookup: &AttemptLookup) -> OutputState {
+    let AttemptLookup::Accepted(page) = lookup else { return OutputState::Ended };
     match page.progress {
-        Progress::Completed(_) | Progress::Failed(_) => Output::Ended,
-        Progress::Queued | Progress::Running if page.chunks.is_empty() => Output::None,
-        Progress::Queued | Progress::Running => Output::New,
+        Progress::Completed(_) | Progress::Failed(_) => OutputState::Ended,
+        Progress::Queued | Progress::Running if page.chunks.is_empty() => OutputState::None,
+        Progress::Queued | Progress::Running => OutputState::New,
     }
 }
 
-/// Notes that an entry reads the end of an attempt.
-fn note_read(state: &mut State, attempt: AttemptId, lookup: &AttemptLookup) {
+/// Records that an entry reads the final state of an attempt, if it has ended.
+fn record_read(state: &mut State, attempt: AttemptId, lookup: &AttemptLookup) {
     let AttemptLookup::Accepted(page) = lookup else { return };
     if matches!(page.progress, Progress::Completed(_) | Progress::Failed(_)) {
         state.unread.remove(&attempt);
@@ -486,11 +489,11 @@
     }
 }
 
-fn call_result(answer: Result<AnswerHead, CallError>) -> CallResult {
-    match answer {
+fn call_result(response: Result<ResponseHead, CallError>) -> CallResult {
+    match response {
         Ok(head) => CallResult::Completed { status: head.status, content_type: head.content_type },
         Err(CallError::Status(status)) => CallResult::Rejected { status },
         Err(CallError::NotConnected | CallError::Refused) => CallResult::NotConnected,
-        Err(CallError::Lost | CallError::Cut) => CallResult::Lost,
+        Err(CallError::Lost | CallError::Truncated) => CallResult::Lost,
     }
 }
--- a/crates/agent/src/listed.rs
+++ b/crates/agent/src/listed.rs
@@ -1,33 +1,39 @@
-//! State of the upstream in the platform's instance list, as entries pass it on.
+//! State of the upstream in the platform's instance list, as reported by entries.
 
 use yuccatrail_core::membership::InstanceState;
 
-/// Time after the last word of any entry for which the upstream counts as leaving, in milliseconds.
+/// Time for which the upstream counts as leaving after the last report of any entry that it is
+/// leaving, in milliseconds.
 ///
-/// It covers several heartbeats. Entries read the list at different times, so the word that the
-/// upstream leaves outweighs the word of others that it is live.
-const LEAVING_LIFETIME_MS: u64 = 25_000;
+/// It covers several heartbeats. Entries read the list at different times, so a report that the
+/// upstream is leaving overrides reports of other entries that it is live.
+const LEAVING_TTL_MS: u64 = 25_000;
 
-/// State of the upstream in the instance list.
+/// State of the upstream in the instance list, merged from the reports of all entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub(crate) struct Listed {
-    /// Number of changes so far.
+    /// Number of state changes so far.
     version: u64,
+    /// Time until which the upstream counts as leaving, in milliseconds; `None` if it is live.
     leaving_until_ms: Option<u64>,
 }
 
 impl Listed {
-    /// Takes the word of an entry; returns the new version and state if they change.
-    pub(crate) fn hear(&mut self, is_leaving: bool, now_ms: u64) -> Option<(u64, InstanceState)> {
+    /// Applies the report of an entry; returns the new version and state if the state has changed.
+    pub(crate) fn on_report(
+        &mut self,
+        is_leaving: bool,
+        now_ms: u64,
+    ) -> Option<(u64, InstanceState)> {
         if !is_leaving {
             return self.tick(now_ms);
         }
         let is_new = self.leaving_until_ms.is_none();
-        self.leaving_until_ms = Some(now_ms.saturating_add(LEAVING_LIFETIME_MS));
+        self.leaving_until_ms = Some(now_ms.saturating_add(LEAVING_TTL_MS));
         is_new.then(|| self.change(InstanceState::Leaving))
     }
 
-    /// Notes that time has passed; returns the new version and state if they change.
+    /// Expires old reports; returns the new version and state if the state has changed.
     pub(crate) fn tick(&mut self, now_ms: u64) -> Option<(u64, InstanceState)> {
         if self.leaving_until_ms.is_none_or(|it| now_ms <= it) {
             return None;
--- a/crates/agent/src/main.rs
+++ b/crates/agent/src/main.rs
@@ -1,4 +1,4 @@
-//! The process beside one upstream, through which all work for the upstream passes.
+//! Agent process: a sidecar of one upstream, through which all calls to the upstream pass.
 
 mod admin;
 mod executor;
--- a/crates/agent/src/metrics.rs
+++ b/crates/agent/src/metrics.rs
@@ -7,13 +7,13 @@
 };
 use yuccatrail_core::{agent::CallResult, outcome::Reason, routing::LoadReport};
 
-/// Label of a refusal.
+/// Label for the reason of a refusal.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ReasonLabel {
     reason: String,
 }
 
-/// Label of a call's end.
+/// Label for the result of a call.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, EncodeLabelSet)]
 struct ResultLabel {
     result: &'static str,
@@ -22,9 +22,9 @@
 /// Metrics of the agent.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Metrics {
-    /// Attempts passed to the upstream.
+    /// Attempts dispatched to the upstream.
     pub(crate) dispatched: Counter,
-    /// Strikes given to requests that were in progress when the upstream stopped.
+    /// Strikes against requests that were in progress when the upstream crashed.
     pub(crate) strikes: Counter,
     ended: Family<ResultLabel, Counter>,
     refused: Family<ReasonLabel, Counter>,
@@ -36,7 +36,7 @@
 }
 
 impl Metrics {
-    /// Creates the metrics and registers them.
+    /// Creates the metrics and registers them in `registry`.
     pub(crate) fn new(registry: &mut Registry) -> Self {
         let metrics = Self::default();
         registry.register(
@@ -60,12 +60,12 @@
     }
 
     /// Counts a refused attempt.
-    pub(crate) fn refused(&self, reason: Reason) {
+    pub(crate) fn count_refused(&self, reason: Reason) {
         self.refused.get_or_create(&ReasonLabel { reason: reason.to_string() }).inc();
     }
 
-    /// Counts a call's end.
-    pub(crate) fn ended(&self, result: &CallResult) {
+    /// Counts a call to the upstream that has ended.
+    pub(crate) fn count_ended(&self, result: &CallResult) {
         let result = match result {
             CallResult::Completed { .. } => "completed",
             CallResult::Rejected { .. } => "rejected",
@@ -76,8 +76,8 @@
         self.ended.get_or_create(&ResultLabel { result }).inc();
     }
 
-    /// Takes over the current load.
-    pub(crate) fn observe_load(&self, load: LoadReport) {
+    /// Sets the gauges to the current load.
+    pub(crate) fn set_load(&self, load: LoadReport) {
         self.running.set(load.running.into());
         self.queued.set(load.queued.into());
         self.limit.set(load.limit.into());
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -1,4 +1,4 @@
-//! Wires the agent's parts together and carries it through a planned stop.
+//! Starts the agent's tasks and shuts the agent down gracefully.
 
 use std::{io, sync::Arc, time::Duration};
 
@@ -22,25 +22,25 @@
     upstream::UpstreamClient,
 };
 
-/// Time between two rounds of periodic work.
+/// Interval between two ticks of the executor, and between two checks of a graceful shutdown.
 const TICK_INTERVAL: Duration = Duration::from_millis(20);
-/// Shortest time for which a stopping agent still answers, in milliseconds.
-const STOP_NOTICE_MS: u64 = 200;
-/// Longest wait of a stopping agent for entries that have not read the end of an attempt.
-const UNREAD_LIMIT: Duration = Duration::from_secs(5);
+/// Minimum time for which an agent still responds during a graceful shutdown, in milliseconds.
+const SHUTDOWN_NOTICE_MS: u64 = 200;
+/// Maximum time for which a graceful shutdown waits for entries to read the results of attempts.
+const UNREAD_TIMEOUT: Duration = Duration::from_secs(5);
 
-/// Runs the agent until a planned stop has finished.
+/// Runs the agent until a graceful shutdown has finished.
 ///
 /// # Errors
 ///
-/// Returns an error when an address cannot be opened or a signal handler not be installed.
+/// Returns an error when an address cannot be bound or a signal handler cannot be installed.
 pub(crate) async fn run(settings: Settings) -> io::Result<()> {
     let signal = shutdown::stop_signal()?;
     let listener = TcpListener::bind(settings.listen).await?;
     let admin_listener = TcpListener::bind(settings.admin_listen).await?;
     let clock = Clock::new();
     let mut registry = Registry::with_prefix("yuccatrail_agent");
-    let executor = executor(&settings, clock, Metrics::new(&mut registry));
+    let executor = create_executor(&settings, clock, Metrics::new(&mut registry));
     info!(
         address:% = listener.local_addr()?,
         admin_address:% = admin_listener.local_addr()?,
@@ -51,21 +51,21 @@
         "listening"
     );
     let finished = CancellationToken::new();
-    let admin = Admin { registry: Arc::new(registry), stop: signal.clone() };
+    let admin = Admin { registry: Arc::new(registry), shutdown: signal.clone() };
     let mut tasks = tokio::task::JoinSet::new();
     tasks.spawn(server::serve(listener, executor.clone(), finished.clone()));
     tasks.spawn(admin::serve(admin_listener, admin, finished.clone()));
-    tasks.spawn(tick(executor.clone(), finished.clone()));
+    tasks.spawn(run_ticks(executor.clone(), finished.clone()));
     let probe_interval = Duration::from_millis(settings.probe_interval_ms);
-    tasks.spawn(probe(executor.clone(), probe_interval, finished.clone()));
+    tasks.spawn(run_probes(executor.clone(), probe_interval, finished.clone()));
     signal.cancelled().await;
-    stop(&executor, clock, settings.stop_limit_ms).await;
+    shut_down(&executor, clock, settings.stop_limit_ms).await;
     finished.cancel();
     tasks.join_all().await;
     Ok(())
 }
 
-fn executor(settings: &Settings, clock: Clock, metrics: Metrics) -> Arc<Executor> {
+fn create_executor(settings: &Settings, clock: Clock, metrics: Metrics) -> Arc<Executor> {
     let incarnation = Incarnation(rand::random());
     let gate = GateSettings {
         upstream: settings.name.clone(),
@@ -79,14 +79,14 @@
     Executor::new(incarnation, clock, core, upstream, control, metrics)
 }
 
-async fn tick(executor: Arc<Executor>, finished: CancellationToken) {
+async fn run_ticks(executor: Arc<Executor>, finished: CancellationToken) {
     while !finished.is_cancelled() {
         executor.tick();
         tokio::time::sleep(TICK_INTERVAL).await;
     }
 }
 
-async fn probe(executor: Arc<Executor>, interval: Duration, finished: CancellationToken) {
+async fn run_probes(executor: Arc<Executor>, interval: Duration, finished: CancellationToken) {
     while !finished.is_cancelled() {
         executor.probe().await;
         tokio::select! {
@@ -96,17 +96,18 @@
     }
 }
 
-/// Finishes the work in progress and lets the entries read its end.
-async fn stop(executor: &Arc<Executor>, clock: Clock, limit_ms: u64) {
-    info!("planned stop begins");
-    executor.stop();
-    let settings = ShutdownSettings { notice_ms: STOP_NOTICE_MS, time_limit_ms: Some(limit_ms) };
-    let mut planned = GracefulShutdown::new(settings);
-    planned.begin(clock.now_ms());
+/// Refuses new work, and waits for work in progress and until entries have read its results.
+async fn shut_down(executor: &Arc<Executor>, clock: Clock, time_limit_ms: u64) {
+    info!("graceful shutdown begins");
+    executor.begin_shutdown();
+    let settings =
+        ShutdownSettings { notice_ms: SHUTDOWN_NOTICE_MS, time_limit_ms: Some(time_limit_ms) };
+    let mut graceful = GracefulShutdown::new(settings);
+    graceful.begin(clock.now_ms());
     loop {
         let (in_progress, _) = executor.remaining();
-        if let ShutdownPhase::Finished { cut } = planned.advance(clock.now_ms(), in_progress) {
-            report_cut(cut);
+        if let ShutdownPhase::Finished { cut } = graceful.advance(clock.now_ms(), in_progress) {
+            log_interrupted(cut);
             break;
         }
         tokio::time::sleep(TICK_INTERVAL).await;
@@ -116,16 +117,16 @@
             tokio::time::sleep(TICK_INTERVAL).await;
         }
     };
-    if tokio::time::timeout(UNREAD_LIMIT, all_read).await.is_err() {
-        warn!(unread = executor.remaining().1; "stopping with results that no entry has read");
+    if tokio::time::timeout(UNREAD_TIMEOUT, all_read).await.is_err() {
+        warn!(unread = executor.remaining().1; "shutting down with results that no entry has read");
     }
-    // Replies that were just handed to their connections have to leave the process.
-    tokio::time::sleep(Duration::from_millis(STOP_NOTICE_MS)).await;
-    info!("planned stop ends");
+    // Replies that were just passed to their connections still have to be sent.
+    tokio::time::sleep(Duration::from_millis(SHUTDOWN_NOTICE_MS)).await;
+    info!("graceful shutdown ends");
 }
 
-fn report_cut(cut: u32) {
+fn log_interrupted(cut: u32) {
     if cut > 0 {
-        warn!(cut = cut; "the time limit of the planned stop cuts work in progress");
+        warn!(cut = cut; "graceful shutdown timed out; interrupting work in progress");
     }
 }
--- a/crates/agent/src/server.rs
+++ b/crates/agent/src/server.rs
@@ -1,4 +1,4 @@
-//! RPC server of the agent.
+//! RPC server by which entries call the agent.
 
 use std::{future::Future, sync::Arc};
 
@@ -18,13 +18,13 @@
 
 use crate::executor::Executor;
 
-/// Answers the calls of one connection.
+/// Handles the calls on one connection.
 #[derive(Clone)]
-struct Connection {
+struct AgentService {
     executor: Arc<Executor>,
 }
 
-impl Agent for Connection {
+impl Agent for AgentService {
     async fn sync(self, _: Context, request: SyncRequest) -> SyncReply {
         self.executor.sync(request)
     }
@@ -53,7 +53,7 @@
 async fn serve_connection(stream: TcpStream, executor: Arc<Executor>) {
     let Ok(transport) = transport::accept(stream).await else { return };
     let channel = BaseChannel::with_defaults(Box::pin(transport));
-    channel.execute(Connection { executor }.serve()).for_each(spawn).await;
+    channel.execute(AgentService { executor }.serve()).for_each(spawn).await;
 }
 
 async fn spawn(response: impl Future<Output = ()> + Send + 'static) {
--- a/crates/agent/src/settings.rs
+++ b/crates/agent/src/settings.rs
@@ -1,4 +1,4 @@
-//! Settings of the agent from flags and environment variables.
+//! Settings of the agent, read from flags and environment variables.
 
 use std::{net::SocketAddr, num::NonZeroUsize};
 
@@ -13,9 +13,9 @@
     pub(crate) name: String,
     /// Pool that the upstream belongs to.
     pub(crate) pool: String,
-    /// Data centre that the upstream stands in.
+    /// Data centre that the upstream runs in.
     pub(crate) data_centre: String,
-    /// Address on which entries reach the agent.
+    /// Address on which the agent accepts calls of entries.
     pub(crate) listen: SocketAddr,
     /// Address of the health and metrics endpoint.
     pub(crate) admin_listen: SocketAddr,
@@ -23,11 +23,11 @@
     pub(crate) upstream: SocketAddr,
     /// Time between two probes of the upstream, in milliseconds.
     pub(crate) probe_interval_ms: u64,
-    /// Longest time that a planned stop waits for work in progress, in milliseconds.
+    /// Maximum time for which a graceful shutdown waits for work in progress, in milliseconds.
     pub(crate) stop_limit_ms: u64,
-    /// Least severe level that is logged.
+    /// Least severe log level that is written.
     pub(crate) log_level: LevelFilter,
-    /// Threads that run the process's tasks.
+    /// Number of worker threads of the runtime.
     pub(crate) worker_threads: NonZeroUsize,
 }
 
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -1,4 +1,4 @@
-//! HTTP client for the one upstream.
+//! HTTP client of the upstream.
 
 mod connect;
 #[cfg(test)]
@@ -30,75 +30,76 @@
 use yuccatrail_core::{agent::ProbeResult, ids::AttemptId};
 use yuccatrail_rpc::messages::{ResponseForm, UpstreamCall};
 
-use self::connect::RunConnector;
+use self::connect::BootConnector;
 
-/// Time after which an attempt to connect fails.
+/// Time-out for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which an unanswered probe counts as silence.
+/// Time after which a probe counts as not answered.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1000);
-/// Time after which an unused connection is closed.
+/// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
-/// Event that ends a complete stream, as in the completions protocol.
+/// Data of the event that marks the end of a complete stream, as in the completions protocol.
 const STREAM_END: &str = "[DONE]";
 
-/// Why a call ended without a complete answer.
+/// Why a call ended without a complete response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum CallError {
-    /// No connection could be opened, so the upstream saw nothing of the call.
+    /// No connection could be opened, so the upstream received nothing of the call.
     NotConnected,
-    /// Nothing listens on the upstream's address.
+    /// The connection was refused because nothing listens on the upstream's address.
     Refused,
     /// The connection broke after the call may have been sent.
     Lost,
-    /// The stream ended before its final event.
-    Cut,
-    /// The upstream answered with an error status.
+    /// The stream ended before its final event, or the body of a health response is malformed.
+    Truncated,
+    /// The upstream responded with an error status.
     Status(u16),
 }
 
-/// Head of a complete answer.
+/// Head of a complete response.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) struct AnswerHead {
-    /// HTTP status.
+pub(crate) struct ResponseHead {
+    /// HTTP status code.
     pub(crate) status: u16,
-    /// Content type.
+    /// `Content-Type`, if the response has one.
     pub(crate) content_type: Option<String>,
 }
 
-/// Answer of the upstream's health endpoint.
+/// Response body of the upstream's health endpoint.
 #[derive(Clone, Debug, PartialEq, Eq, Deserialize)]
 struct Health {
-    /// Identity of the engine start.
+    /// Identifies the engine's boot; every start of the engine uses a new value.
     boot_id: String,
-    /// Whether the engine considers itself warm, if it tells.
+    /// Whether the engine is warm, if it reports that.
     #[serde(default)]
     warm: Option<bool>,
 }
 
 impl Health {
-    /// Returns the number that stands for the engine start.
-    fn run(&self) -> u64 {
-        boot_number(&self.boot_id)
+    /// Returns the engine's boot identifier as a number.
+    fn boot_id(&self) -> u64 {
+        hash_boot_id(&self.boot_id)
     }
 }
 
-/// Connections to the one upstream.
+/// Client of the upstream; sends probes, and provides clients for calls.
 #[derive(Debug)]
 pub(crate) struct UpstreamClient {
     address: SocketAddr,
     connector: HttpConnector,
-    /// Connections of probes, which go to any run.
+    /// Connections for probes, which may reach any boot of the upstream.
     probes: Client<HttpConnector, Full<Bytes>>,
-    /// Connections of calls to the run that was probed last.
-    calls: Mutex<RunClient>,
+    /// Client for calls to the boot that the last probe reached.
+    current: Mutex<BootClient>,
 }
 
-/// Connections of calls to one run of the upstream.
+/// Client for calls to one boot of the upstream.
 #[derive(Clone, Debug)]
-pub(crate) struct RunClient {
+pub(crate) struct BootClient {
     address: SocketAddr,
-    run: Option<u64>,
-    client: Client<RunConnector, Full<Bytes>>,
+    /// The only boot that calls may reach; `None` if no boot is known yet.
+    boot_id: Option<u64>,
+    client: Client<BootConnector, Full<Bytes>>,
 }
 
 impl UpstreamClient {
@@ -107,31 +108,32 @@
         let mut connector = HttpConnector::new();
         connector.set_connect_timeout(Some(CONNECT_TIMEOUT));
         connector.set_nodelay(true);
-        let probes = builder().build(connector.clone());
-        let calls = Mutex::new(RunClient::new(connector.clone(), address, None));
-        Self { address, connector, probes, calls }
+        let probes = client_builder().build(connector.clone());
+        let current = Mutex::new(BootClient::new(connector.clone(), address, None));
+        Self { address, connector, probes, current }
     }
 
-    /// Notes the run that a probe found; calls that begin from now on go to this run.
-    pub(crate) fn set_run(&self, run: u64) {
-        let mut calls = self.calls.lock().unwrap_or_else(PoisonError::into_inner);
-        if calls.run != Some(run) {
-            *calls = RunClient::new(self.connector.clone(), self.address, Some(run));
+    /// Sets the boot that a probe reached; later calls may reach only this boot.
+    pub(crate) fn set_boot_id(&self, boot_id: u64) {
+        let mut current = self.current.lock().unwrap_or_else(PoisonError::into_inner);
+        if current.boot_id != Some(boot_id) {
+            *current = BootClient::new(self.connector.clone(), self.address, Some(boot_id));
         }
     }
 
-    /// Returns the connections to the run that was noted last.
+    /// Returns the client for calls to the boot that the last probe reached.
     ///
-    /// A call takes them when it is decided on, so that it cannot reach a later run.
-    pub(crate) fn current_run(&self) -> RunClient {
-        self.calls.lock().unwrap_or_else(PoisonError::into_inner).clone()
+    /// A call takes the client at the time of its dispatch decision, so that it cannot reach a
+    /// later boot.
+    pub(crate) fn current_boot(&self) -> BootClient {
+        self.current.lock().unwrap_or_else(PoisonError::into_inner).clone()
     }
 
-    /// Asks the upstream for its health.
+    /// Sends a health probe to the upstream.
     pub(crate) async fn probe(&self) -> ProbeResult {
-        match tokio::time::timeout(PROBE_TIMEOUT, self.health()).await {
+        match tokio::time::timeout(PROBE_TIMEOUT, self.fetch_health()).await {
             Ok(Ok(health)) => {
-                let boot_id = Some(boot_number(&health.boot_id));
+                let boot_id = Some(hash_boot_id(&health.boot_id));
                 ProbeResult::Answered { boot_id, warm: health.warm }
             }
             Ok(Err(CallError::Refused)) => ProbeResult::Refused,
@@ -139,35 +141,37 @@
         }
     }
 
-    async fn health(&self) -> Result<Health, CallError> {
+    async fn fetch_health(&self) -> Result<Health, CallError> {
         let request = Request::get(format!("http://{}/health", self.address)).body(Full::default());
         let Ok(request) = request else { return Err(CallError::NotConnected) };
-        let response = sent(self.probes.request(request).await)?;
+        let response = map_send_error(self.probes.request(request).await)?;
         if !response.status().is_success() {
             return Err(CallError::Status(response.status().as_u16()));
         }
         let body = response.into_body().collect().await.map_err(|_| CallError::Lost)?.to_bytes();
-        serde_json::from_slice(&body).map_err(|_| CallError::Cut)
+        serde_json::from_slice(&body).map_err(|_| CallError::Truncated)
     }
 }
 
-impl RunClient {
-    fn new(connector: HttpConnector, address: SocketAddr, run: Option<u64>) -> Self {
-        let client = builder().build(RunConnector::new(connector, address, run));
-        Self { address, run, client }
+impl BootClient {
+    fn new(connector: HttpConnector, address: SocketAddr, boot_id: Option<u64>) -> Self {
+        let client = client_builder().build(BootConnector::new(connector, address, boot_id));
+        Self { address, boot_id, client }
     }
 
-    /// Makes a call and passes each chunk of the answer to `on_chunk`.
+    /// Makes a call and passes each chunk of the response to `on_chunk`.
     pub(crate) async fn call(
         &self,
         attempt: AttemptId,
         call: UpstreamCall,
         mut on_chunk: impl FnMut(Bytes),
-    ) -> Result<AnswerHead, CallError> {
+    ) -> Result<ResponseHead, CallError> {
         let form = call.response;
-        let Some(request) = self.build(attempt, call) else { return Err(CallError::NotConnected) };
-        let response = sent(self.client.request(request).await)?;
-        let head = AnswerHead {
+        let Some(request) = self.build_request(attempt, call) else {
+            return Err(CallError::NotConnected);
+        };
+        let response = map_send_error(self.client.request(request).await)?;
+        let head = ResponseHead {
             status: response.status().as_u16(),
             content_type: content_type(&response),
         };
@@ -180,14 +184,18 @@
             return Ok(head);
         }
         let body = response.into_body().collect().await.map_err(|_| CallError::Lost)?.to_bytes();
-        if response_is_server_error(head.status) {
+        if is_server_error(head.status) {
             return Err(CallError::Status(head.status));
         }
         on_chunk(body);
         Ok(head)
     }
 
-    fn build(&self, attempt: AttemptId, call: UpstreamCall) -> Option<Request<Full<Bytes>>> {
+    fn build_request(
+        &self,
+        attempt: AttemptId,
+        call: UpstreamCall,
+    ) -> Option<Request<Full<Bytes>>> {
         let mut builder = Request::builder()
             .method(call.method.as_str())
             .uri(self.url(&call.path))
@@ -207,14 +215,14 @@
     }
 }
 
-fn builder() -> client::legacy::Builder {
+fn client_builder() -> client::legacy::Builder {
     let mut builder = Client::builder(TokioExecutor::new());
     builder.pool_timer(TokioTimer::new()).pool_idle_timeout(IDLE_TIMEOUT);
     builder
 }
 
-/// Tells what a failed request has come to.
-fn sent(
+/// Converts the error of a failed request.
+fn map_send_error(
     result: Result<Response<Incoming>, client::legacy::Error>,
 ) -> Result<Response<Incoming>, CallError> {
     match result {
@@ -225,7 +233,7 @@
     }
 }
 
-/// Tells whether a connection was refused, which only happens when nothing listens.
+/// Tells whether a connection was refused, which happens only if nothing listens on the address.
 fn is_refused(error: &client::legacy::Error) -> bool {
     let mut source = error.source();
     while let Some(cause) = source {
@@ -240,14 +248,14 @@
     false
 }
 
-/// Maps the text of a boot identity to a number.
-fn boot_number(text: &str) -> u64 {
+/// Maps the text of a boot identifier to a number.
+fn hash_boot_id(text: &str) -> u64 {
     let mut hasher = FxHasher::default();
     text.hash(&mut hasher);
     hasher.finish()
 }
 
-fn response_is_server_error(status: u16) -> bool {
+fn is_server_error(status: u16) -> bool {
     status >= 500
 }
 
@@ -255,6 +263,7 @@
     Some(response.headers().get(header::CONTENT_TYPE)?.to_str().ok()?.to_owned())
 }
 
+/// Returns the data of a body frame; `None` for a frame of trailers.
 async fn data_frame(
     frame: Result<hyper::body::Frame<Bytes>, hyper::Error>,
 ) -> Option<Result<Bytes, hyper::Error>> {
@@ -264,6 +273,7 @@
     }
 }
 
+/// Passes the data of each event to `on_chunk` until the final event.
 async fn read_events(
     chunks: impl Stream<Item = Result<Bytes, hyper::Error>>,
     mut on_chunk: impl FnMut(Bytes),
@@ -276,5 +286,5 @@
         }
         on_chunk(Bytes::from(event.data));
     }
-    Err(CallError::Cut)
+    Err(CallError::Truncated)
 }
--- a/crates/agent/src/upstream/connect.rs
+++ b/crates/agent/src/upstream/connect.rs
@@ -1,4 +1,4 @@
-//! Connections that reach only one run of the upstream.
+//! Connector that reaches only one boot of the upstream.
 
 use std::{
     future::Future,
@@ -21,26 +21,27 @@
 type Connection = TokioIo<TcpStream>;
 type Connecting = Pin<Box<dyn Future<Output = io::Result<Connection>> + Send>>;
 
-/// Opens connections and closes those that reach another run than the wanted one.
+/// Opens connections, and closes those that reach another boot than the expected one.
 ///
-/// The decision to start a call rests on what is known of one run. A restart between the decision
-/// and the opening of a connection would otherwise pass the call to a cold run.
+/// The decision to dispatch a call is based on the state of one boot. If the upstream restarted
+/// between the decision and the opening of the connection, the call would otherwise reach a cold
+/// engine.
 #[derive(Clone, Debug)]
-pub(super) struct RunConnector {
+pub(super) struct BootConnector {
     connector: HttpConnector,
     address: SocketAddr,
-    /// The only run that connections may reach, if one is known.
-    run: Option<u64>,
+    /// The only boot that connections may reach; `None` if no boot is known yet.
+    boot_id: Option<u64>,
 }
 
-impl RunConnector {
+impl BootConnector {
     /// Creates a connector for the upstream at `address`.
-    pub(super) fn new(connector: HttpConnector, address: SocketAddr, run: Option<u64>) -> Self {
-        Self { connector, address, run }
+    pub(super) fn new(connector: HttpConnector, address: SocketAddr, boot_id: Option<u64>) -> Self {
+        Self { connector, address, boot_id }
     }
 }
 
-impl Service<Uri> for RunConnector {
+impl Service<Uri> for BootConnector {
     type Response = Connection;
     type Error = io::Error;
     type Future = Connecting;
@@ -50,22 +51,27 @@
     }
 
     fn call(&mut self, target: Uri) -> Connecting {
-        let opening = self.connector.call(target);
-        let (address, wanted) = (self.address, self.run);
+        let connecting = self.connector.call(target);
+        let (address, expected) = (self.address, self.boot_id);
         Box::pin(async move {
-            // The cause stays in the chain, where a refused connection is told from other failures.
-            let connection = opening.await.map_err(io::Error::other)?;
-            let (connection, run) = ask_run(connection, address).await?;
-            if wanted.is_some_and(|it| it != run) {
-                return Err(io::Error::other("the upstream was restarted"));
+            // The error remains in the source chain, by which a refused connection is
+            // distinguished.
+            let connection = connecting.await.map_err(io::Error::other)?;
+            let (connection, boot_id) = fetch_boot_id(connection, address).await?;
+            if expected.is_some_and(|it| it != boot_id) {
+                return Err(io::Error::other("the upstream has been restarted"));
             }
             Ok(connection)
         })
     }
 }
 
-/// Asks the health endpoint which run is at the other end; returns the connection and the run.
-async fn ask_run(connection: Connection, address: SocketAddr) -> io::Result<(Connection, u64)> {
+/// Requests the boot identifier from the health endpoint; returns the connection and the
+/// identifier.
+async fn fetch_boot_id(
+    connection: Connection,
+    address: SocketAddr,
+) -> io::Result<(Connection, u64)> {
     let (mut sender, driver) =
         http1::handshake::<_, Full<Bytes>>(connection).await.map_err(io::Error::other)?;
     let request = Request::get("/health")
@@ -75,13 +81,15 @@
     let health = async move {
         let response = sender.send_request(request).await.map_err(io::Error::other)?;
         if response.status() != StatusCode::OK {
-            return Err(io::Error::other("the upstream tells no health"));
+            return Err(io::Error::other(
+                "the upstream's health endpoint did not return status 200",
+            ));
         }
         let body = response.into_body().collect().await.map_err(io::Error::other)?;
         serde_json::from_slice::<Health>(&body.to_bytes()).map_err(io::Error::other)
     };
-    // The driver ends, and gives the connection back, once the sender is dropped.
+    // The driver finishes and returns the connection once the sender is dropped.
     let (health, parts) = join(health, driver.without_shutdown()).await;
-    let run = health?.run();
-    Ok((parts.map_err(io::Error::other)?.io, run))
+    let boot_id = health?.boot_id();
+    Ok((parts.map_err(io::Error::other)?.io, boot_id))
 }
--- a/crates/agent/src/upstream/tests.rs
+++ b/crates/agent/src/upstream/tests.rs
@@ -13,10 +13,10 @@
 
 use super::*;
 
-/// An engine that can be restarted in place.
+/// Engine that can be restarted without a change of its address.
 struct Engine {
     address: SocketAddr,
-    boot: Arc<AtomicU64>,
+    boot_id: Arc<AtomicU64>,
     calls: Arc<AtomicUsize>,
     restarts: watch::Sender<u64>,
 }
@@ -27,15 +27,15 @@
         let address = listener.local_addr().unwrap();
         let engine = Self {
             address,
-            boot: Arc::new(AtomicU64::new(1)),
+            boot_id: Arc::new(AtomicU64::new(1)),
             calls: Arc::new(AtomicUsize::new(0)),
             restarts: watch::Sender::new(0),
         };
-        let (boot, calls) = (engine.boot.clone(), engine.calls.clone());
+        let (current_boot, calls) = (engine.boot_id.clone(), engine.calls.clone());
         let restarts = engine.restarts.clone();
         tokio::spawn(async move {
             while let Ok((stream, _)) = listener.accept().await {
-                let (boot, calls) = (boot.clone(), calls.clone());
+                let (current_boot, calls) = (current_boot.clone(), calls.clone());
                 let mut restarted = restarts.subscribe();
                 tokio::spawn(async move {
                     let service = service_fn(move |request: Request<Incoming>| {
@@ -43,7 +43,7 @@
                         if !is_health {
                             calls.fetch_add(1, Ordering::SeqCst);
                         }
-                        let boot_id = boot.load(Ordering::SeqCst).to_string();
+                        let boot_id = current_boot.load(Ordering::SeqCst).to_string();
                         let body = serde_json::json!({ "boot_id": boot_id, "warm": true });
                         let body = Full::new(Bytes::from(body.to_string()));
                         async move { Ok::<_, Infallible>(Response::new(body)) }
@@ -61,7 +61,7 @@
     }
 
     fn restart(&self) {
-        self.boot.fetch_add(1, Ordering::SeqCst);
+        self.boot_id.fetch_add(1, Ordering::SeqCst);
         self.restarts.send_modify(|it| *it += 1);
     }
 
@@ -70,7 +70,7 @@
     }
 }
 
-async fn call(client: &RunClient) -> Result<AnswerHead, CallError> {
+async fn call(client: &BootClient) -> Result<ResponseHead, CallError> {
     let attempt =
         AttemptId { request: RequestId(7), stage: StageIndex(0), number: 0, entry: Incarnation(1) };
     let call = UpstreamCall {
@@ -84,39 +84,39 @@
     client.call(attempt, call, |_| {}).await
 }
 
-/// Probes until an answer comes and notes the run that gave it.
-async fn probe(client: &UpstreamClient) {
+/// Probes until the engine answers, and sets the boot that answered.
+async fn probe_until_answered(client: &UpstreamClient) {
     loop {
-        // The first probe after a restart may find the connection that the restart broke.
-        if let ProbeResult::Answered { boot_id: Some(run), .. } = client.probe().await {
-            client.set_run(run);
+        // The first probe after a restart may use a pooled connection that the restart has broken.
+        if let ProbeResult::Answered { boot_id: Some(boot_id), .. } = client.probe().await {
+            client.set_boot_id(boot_id);
             return;
         }
     }
 }
 
 #[tokio::test]
-async fn a_call_that_was_decided_on_before_a_restart_does_not_reach_the_new_run() {
+async fn client_taken_before_a_restart_does_not_reach_the_new_boot() {
     let engine = Engine::start().await;
     let client = UpstreamClient::new(engine.address);
-    probe(&client).await;
-    let (decided, unused) = (client.current_run(), client.current_run());
-    call(&decided).await.expect("the run that was probed takes calls");
+    probe_until_answered(&client).await;
+    let (used, unused) = (client.current_boot(), client.current_boot());
+    call(&used).await.expect("the probed boot accepts calls");
     engine.restart();
-    // The connection of the first call may not be known to be broken yet.
-    call(&decided).await.expect_err("no call gets to the new run");
-    assert_eq!(call(&decided).await, Err(CallError::NotConnected));
-    probe(&client).await;
+    // The client may not have detected yet that the connection of the first call is broken.
+    call(&used).await.expect_err("no call reaches the new boot");
+    assert_eq!(call(&used).await, Err(CallError::NotConnected));
+    probe_until_answered(&client).await;
     assert_eq!(call(&unused).await, Err(CallError::NotConnected));
     assert_eq!(engine.calls(), 1);
-    call(&client.current_run()).await.expect("the new run takes calls once it was probed");
+    call(&client.current_boot()).await.expect("the new boot accepts calls after a probe");
     assert_eq!(engine.calls(), 2);
 }
 
 #[tokio::test]
-async fn a_call_before_the_first_probe_goes_to_whichever_run_there_is() {
+async fn call_before_the_first_probe_reaches_any_boot() {
     let engine = Engine::start().await;
     let client = UpstreamClient::new(engine.address);
-    call(&client.current_run()).await.expect("no run is known, so any will do");
+    call(&client.current_boot()).await.expect("any boot accepts calls while none is known");
     assert_eq!(engine.calls(), 1);
 }
--- a/crates/agent/tests/settings.rs
+++ b/crates/agent/tests/settings.rs
@@ -1,8 +1,8 @@
-//! Settings of the agent binary are checked before anything is opened.
+//! The agent binary checks its settings before it opens any address.
 
 use std::process::{Command, Output};
 
-fn run(arguments: &[&str]) -> Output {
+fn run_agent(arguments: &[&str]) -> Output {
     Command::new(env!("CARGO_BIN_EXE_yuccatrail-agent"))
         .args(arguments)
         .output()
@@ -10,8 +10,8 @@
 }
 
 #[test]
-fn help_names_each_setting_with_its_variable() {
-    let output = run(&["--help"]);
+fn help_lists_each_setting_with_its_environment_variable() {
+    let output = run_agent(&["--help"]);
     let text = String::from_utf8_lossy(&output.stdout).into_owned();
     assert!(output.status.success());
     for name in ["name", "pool", "data-centre", "listen", "admin-listen", "upstream"] {
@@ -22,9 +22,17 @@
 }
 
 #[test]
-fn faulty_setting_is_named() {
-    let output =
-        run(&["--name", "a", "--pool", "", "--data-centre", "north", "--listen", "127.0.0.1:0"]);
+fn invalid_setting_is_named_in_the_error_message() {
+    let output = run_agent(&[
+        "--name",
+        "a",
+        "--pool",
+        "",
+        "--data-centre",
+        "north",
+        "--listen",
+        "127.0.0.1:0",
+    ]);
     let text = String::from_utf8_lossy(&output.stderr).into_owned();
     assert!(!output.status.success());
     assert!(text.contains("pool must not be empty"), "unexpected message: {text}");
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -27,7 +27,8 @@
 /// Time after which an idle connection is closed, in milliseconds.
 const POOL_IDLE_TIMEOUT_MS: u64 = 30_000;
 
-/// Idle time after which TCP keep-alive probes a connection, and interval between probes, in seconds.
+/// Idle time after which TCP keep-alive probes a connection, and interval between probes, in
+/// seconds.
 ///
 /// A long poll may wait for a long time, so a dead connection has to be detected by TCP.
 const KEEPALIVE_S: u64 = 1;
@@ -142,8 +143,8 @@
     /// # Errors
     ///
     /// Returns `Conflict` when the object has changed or no longer exists, `TooLarge` without
-    /// sending the request, `Unavailable` when the object was certainly not changed and `AnswerLost` when it may
-    /// have been.
+    /// sending the request, `Unavailable` when the object was certainly not changed and
+    /// `AnswerLost` when it may have been.
     pub async fn update<T: Serialize + DeserializeOwned>(
         &self,
         kind: Kind,
@@ -292,7 +293,8 @@
         self.within_timeout(context, buffered).await
     }
 
-    /// Waits until the call budget allows the call, then for its result within the request time-out.
+    /// Waits until the call budget allows the call, then for its result within the request
+    /// time-out.
     async fn within_timeout<V>(
         &self,
         context: &CallContext,
--- a/crates/platform/src/poll.rs
+++ b/crates/platform/src/poll.rs
@@ -1,7 +1,7 @@
 //! Keeps a consumer up to date with one kind of an object API by lists and long polls.
 //!
-//! The paths and the decoding of bodies are passed in as functions, so that the same connections, call
-//! budget and backoff serve any wire format.
+//! The paths and the decoding of bodies are passed in as functions, so that the same connections,
+//! call budget and backoff serve any wire format.
 
 use std::{
     sync::{
@@ -210,8 +210,8 @@
         }
     }
 
-    /// Lists or polls once and delivers the result. The future may be dropped at any time if the kind
-    /// is listed next.
+    /// Lists or polls once and delivers the result. The future may be dropped at any time if the
+    /// kind is listed next.
     async fn list_or_poll(&mut self) -> Result<(), ConsumerGone> {
         let response = match self.revision {
             Some(revision) => self.poll(revision).await,
@@ -271,8 +271,8 @@
 
     /// Waits after a failed call; the kind is listed next.
     ///
-    /// An interrupted poll may have missed earlier changes, and a platform that has lost its history
-    /// may hold a poll from the old revision open instead of refusing it.
+    /// An interrupted poll may have missed earlier changes, and a platform that has lost its
+    /// history may hold a poll from the old revision open instead of refusing it.
     async fn back_off(&mut self, error: PlatformError) -> Result<(), ConsumerGone> {
         self.revision = None;
         if matches!(error, PlatformError::Gone { .. }) {
--- a/crates/platform/src/poll_watchdog.rs
+++ b/crates/platform/src/poll_watchdog.rs
@@ -1,15 +1,17 @@
 //! Detection of long polls that may never receive a response.
 //!
 //! After an outage the platform may leave long polls without a response although their connections
-//! stay open. Short check calls detect this, because the platform has to respond to them immediately.
+//! stay open. Short check calls detect this, because the platform has to respond to them
+//! immediately.
 
-/// Delay after a successful check, in milliseconds. An outage of twice this delay is always detected,
-/// and twice this delay is shorter than the three seconds after which the platform counts as stable
-/// again.
+/// Delay after a successful check, in milliseconds. An outage of twice this delay is always
+/// detected, and twice this delay is shorter than the three seconds after which the platform counts
+/// as stable again.
 const CHECK_INTERVAL_MS: u64 = 1_000;
 
-/// Delay after a failed check, in milliseconds; less than half of the two seconds within which changes
-/// have to take effect after the platform's return. Each failed check is billed as a full call.
+/// Delay after a failed check, in milliseconds; less than half of the two seconds within which
+/// changes have to take effect after the platform's return. Each failed check is billed as a full
+/// call.
 const RETRY_INTERVAL_MS: u64 = 800;
 
 /// Consecutive failed checks that indicate an outage rather than the loss of single responses.
@@ -31,7 +33,8 @@
 /// Decides from the results of the checks when to cancel long polls.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct PollWatchdog {
-    /// Time of the last failed check, in milliseconds; `None` once responses count as reliable again.
+    /// Time of the last failed check, in milliseconds; `None` once responses count as reliable
+    /// again.
     failed_ms: Option<u64>,
     /// Number of consecutive failed checks.
     failures: u32,
@@ -41,8 +44,8 @@
     /// Records the result of a check at `now_ms`.
     ///
     /// Polls are cancelled at the first failure, so that the pollers detect it, and at the first
-    /// success after failures. Unless that success ended an outage, other responses may still be lost,
-    /// so polls are cancelled once more when checks have succeeded for the loss period.
+    /// success after failures. Unless that success ended an outage, other responses may still be
+    /// lost, so polls are cancelled once more when checks have succeeded for the loss period.
     pub fn on_check(&mut self, is_successful: bool, now_ms: u64) -> CheckOutcome {
         if !is_successful {
             self.failures += 1;
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -158,8 +158,8 @@
     }
 }
 
-/// Returns the value of a `Retry-After` header in seconds, converted to milliseconds; a platform may
-/// send fractions of a second.
+/// Returns the value of a `Retry-After` header in seconds, converted to milliseconds; a platform
+/// may send fractions of a second.
 fn retry_after_ms(headers: &HeaderMap) -> Option<u64> {
     let seconds: f64 = headers.get(RETRY_AFTER)?.to_str().ok()?.parse().ok()?;
     (seconds.is_finite() && seconds >= 0.0).then_some((seconds * 1_000.0) as u64)
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -41,8 +41,8 @@
     pub writes_per_second: f64,
     /// Limit for opening watches and long polls, in calls per second.
     pub watches_per_second: f64,
-    /// Maximum time that the rate limit may delay a call, in milliseconds; a call that would have to
-    /// wait longer is refused.
+    /// Maximum time that the rate limit may delay a call, in milliseconds; a call that would have
+    /// to wait longer is refused.
     pub max_wait_ms: u64,
 }
 
--- a/crates/platform/src/watcher.rs
+++ b/crates/platform/src/watcher.rs
@@ -18,7 +18,8 @@
 pub struct WatcherSettings {
     /// Backoff after failed calls.
     pub backoff: BackoffSettings,
-    /// Time without a list, change or bookmark after which the kind is listed again, in milliseconds.
+    /// Time without a list, change or bookmark after which the kind is listed again, in
+    /// milliseconds.
     pub max_silence_ms: u64,
     /// Number of updates that may be queued for the consumer; the watcher pauses while the queue is
     /// full.
@@ -188,8 +189,8 @@
         self.send(WatchUpdate::Available).await
     }
 
-    /// Waits after a failed call. The next watch resumes at the last version, or follows a new list if
-    /// the platform no longer has the changes.
+    /// Waits after a failed call. The next watch resumes at the last version, or follows a new list
+    /// if the platform no longer has the changes.
     async fn back_off(&mut self, error: PlatformError) -> Result<(), Interruption> {
         let retry_after_ms = match &error {
             PlatformError::Unavailable { retry_after_ms, .. } => *retry_after_ms,
--- a/crates/rpc/src/entries.rs
+++ b/crates/rpc/src/entries.rs
@@ -77,8 +77,8 @@
     async fn entries() -> Vec<EntryAddress>;
     /// Returns the active configuration; `None` until the entry has received one.
     async fn configuration() -> Option<Arc<Configuration>>;
-    /// Returns the platform's lists as the entry knows them; `None` unless it currently receives the
-    /// platform's updates.
+    /// Returns the platform's lists as the entry knows them; `None` unless it currently receives
+    /// the platform's updates.
     async fn beliefs() -> Option<PlatformLists>;
     /// Runs all pieces of one stage and returns when the stage has ended.
     async fn run_stage(request: StageRequest) -> StageReply;
--- a/crates/rpc/src/messages.rs
+++ b/crates/rpc/src/messages.rs
@@ -102,8 +102,8 @@
     pub customer: String,
     /// Digest of the customer, target and body of the request.
     pub fingerprint: Digest,
-    /// Strikes against the request that the entry knows of; if there are any, the request has to run
-    /// alone.
+    /// Strikes against the request that the entry knows of; if there are any, the request has to
+    /// run alone.
     pub strikes: Vec<Strike>,
     /// Whether the call is idempotent, so that it may be aborted when the attempt is cancelled.
     pub idempotent: bool,
--- a/crates/runtime/src/http.rs
+++ b/crates/runtime/src/http.rs
@@ -52,7 +52,8 @@
 {
     let graceful = GracefulShutdown::new();
     accept(&listener, &stop, |stream| {
-        // With Nagle's algorithm, small responses would wait for the peer's delayed acknowledgement.
+        // With Nagle's algorithm, small responses would wait for the peer's delayed
+        // acknowledgement.
         let _ = stream.set_nodelay(true);
         let handler = handler.clone();
         let service = service_fn(move |request| {
--- a/crates/runtime/src/logging.rs
+++ b/crates/runtime/src/logging.rs
@@ -19,8 +19,8 @@
 use simplelog::{CombinedLogger, Config, SharedLogger};
 use time::{OffsetDateTime, format_description::well_known::Rfc3339};
 
-/// Interval at which the buffer is written out; a shorter one costs more wake-ups, which matter on a
-/// small instance.
+/// Interval at which the buffer is written out; a shorter one costs more wake-ups, which matter on
+/// a small instance.
 const WRITE_INTERVAL: Duration = Duration::from_millis(100);
 /// Rate limit for lines less severe than warnings, in lines per second; twice the request rate that
 /// one entry has today.
--- a/crates/runtime/src/settings.rs
+++ b/crates/runtime/src/settings.rs
@@ -7,7 +7,8 @@
 
 use crate::threads::DEFAULT_WORKER_THREADS;
 
-/// Default of the longest time that a graceful shutdown waits for work in progress, in milliseconds.
+/// Default of the longest time that a graceful shutdown waits for work in progress, in
+/// milliseconds.
 const DEFAULT_STOP_LIMIT_MS: u64 = 60_000;
 
 /// Parses the name of the instance in the platform's list.
