--- a/crates/fakes/src/capacity/calls.rs
+++ b/crates/fakes/src/capacity/calls.rs
@@ -76,7 +76,8 @@
         let (seen, seconds) = during(rig, service_calls(rig, count, false)).await?;
         let size = count as f64;
         bytes.push((size, net(seen.links.wire_bytes(), idle.links.wire_bytes(), seconds)));
-        messages.push((size, net(seen.links.to_messages, idle.links.to_messages, seconds)));
+        messages
+            .push((size, net(seen.links.inbound_messages, idle.links.inbound_messages, seconds)));
         entry_cpu.push((size, net(seen.entries.cpu_us, idle.entries.cpu_us, seconds)));
         agent_cpu.push((size, net(seen.agents.cpu_us, idle.agents.cpu_us, seconds)));
     }
--- a/crates/fakes/src/capacity/mod.rs
+++ b/crates/fakes/src/capacity/mod.rs
@@ -8,4 +8,4 @@
 pub mod report;
 pub mod rig;
 pub mod slope;
-pub mod tap;
+pub mod proxy;
--- a/crates/fakes/src/capacity/tap.rs
+++ b/crates/fakes/src/capacity/proxy.rs
@@ -29,33 +29,33 @@
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
     /// Payload bytes towards the process.
-    pub to_bytes: u64,
+    pub inbound_bytes: u64,
     /// Payload bytes from the process.
-    pub from_bytes: u64,
+    pub outbound_bytes: u64,
     /// Reads of data towards the process; one for each message, unless messages follow closely.
-    pub to_messages: u64,
+    pub inbound_messages: u64,
     /// Reads of data from the process.
-    pub from_messages: u64,
+    pub outbound_messages: u64,
 }
 
 #[derive(Debug, Default)]
 struct Counters {
-    to_bytes: AtomicU64,
-    from_bytes: AtomicU64,
-    to_messages: AtomicU64,
-    from_messages: AtomicU64,
+    inbound_bytes: AtomicU64,
+    outbound_bytes: AtomicU64,
+    inbound_messages: AtomicU64,
+    outbound_messages: AtomicU64,
 }
 
 /// A forwarded port.
 #[derive(Debug)]
-pub struct Tap {
+pub struct CountingProxy {
     /// Address to connect to in place of the process.
     pub address: SocketAddr,
     counters: Arc<Counters>,
     stop: CancellationToken,
 }
 
-impl Tap {
+impl CountingProxy {
     /// Opens a port whose connections are forwarded to `target`.
     ///
     /// # Errors
@@ -73,10 +73,10 @@
     /// Returns what passed so far.
     pub fn traffic(&self) -> Traffic {
         Traffic {
-            to_bytes: self.counters.to_bytes.load(Ordering::Relaxed),
-            from_bytes: self.counters.from_bytes.load(Ordering::Relaxed),
-            to_messages: self.counters.to_messages.load(Ordering::Relaxed),
-            from_messages: self.counters.from_messages.load(Ordering::Relaxed),
+            inbound_bytes: self.counters.inbound_bytes.load(Ordering::Relaxed),
+            outbound_bytes: self.counters.outbound_bytes.load(Ordering::Relaxed),
+            inbound_messages: self.counters.inbound_messages.load(Ordering::Relaxed),
+            outbound_messages: self.counters.outbound_messages.load(Ordering::Relaxed),
         }
     }
 
@@ -90,26 +90,26 @@
     /// Returns what passed since `earlier`.
     pub fn since(self, earlier: Self) -> Self {
         Self {
-            to_bytes: self.to_bytes - earlier.to_bytes,
-            from_bytes: self.from_bytes - earlier.from_bytes,
-            to_messages: self.to_messages - earlier.to_messages,
-            from_messages: self.from_messages - earlier.from_messages,
+            inbound_bytes: self.inbound_bytes - earlier.inbound_bytes,
+            outbound_bytes: self.outbound_bytes - earlier.outbound_bytes,
+            inbound_messages: self.inbound_messages - earlier.inbound_messages,
+            outbound_messages: self.outbound_messages - earlier.outbound_messages,
         }
     }
 
-    /// Adds the traffic of another tap.
+    /// Adds the traffic of another proxy.
     pub fn plus(self, other: Self) -> Self {
         Self {
-            to_bytes: self.to_bytes + other.to_bytes,
-            from_bytes: self.from_bytes + other.from_bytes,
-            to_messages: self.to_messages + other.to_messages,
-            from_messages: self.from_messages + other.from_messages,
+            inbound_bytes: self.inbound_bytes + other.inbound_bytes,
+            outbound_bytes: self.outbound_bytes + other.outbound_bytes,
+            inbound_messages: self.inbound_messages + other.inbound_messages,
+            outbound_messages: self.outbound_messages + other.outbound_messages,
         }
     }
 
     /// Returns payload bytes of both directions.
     pub fn payload_bytes(self) -> u64 {
-        self.to_bytes + self.from_bytes
+        self.inbound_bytes + self.outbound_bytes
     }
 
     /// Returns bytes of both directions with TCP and IP headers.
@@ -119,9 +119,9 @@
     pub fn wire_bytes(self) -> u64 {
         let packets =
             |bytes: u64, messages: u64| messages.max(bytes.div_ceil(PACKET_PAYLOAD_BYTES));
-        let data =
-            packets(self.to_bytes, self.to_messages) + packets(self.from_bytes, self.from_messages);
-        self.payload_bytes() + (data + self.to_messages) * PACKET_HEADER_BYTES
+        let data = packets(self.inbound_bytes, self.inbound_messages)
+            + packets(self.outbound_bytes, self.outbound_messages);
+        self.payload_bytes() + (data + self.inbound_messages) * PACKET_HEADER_BYTES
     }
 }
 
@@ -154,8 +154,9 @@
     server.set_nodelay(true)?;
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
-    let to = pump(client_read, server_write, &counters.to_bytes, &counters.to_messages);
-    let from = pump(server_read, client_write, &counters.from_bytes, &counters.from_messages);
+    let to = pump(client_read, server_write, &counters.inbound_bytes, &counters.inbound_messages);
+    let from =
+        pump(server_read, client_write, &counters.outbound_bytes, &counters.outbound_messages);
     tokio::select! {
         ended = to => ended,
         ended = from => ended,
--- a/crates/fakes/src/capacity/rig.rs
+++ b/crates/fakes/src/capacity/rig.rs
@@ -5,7 +5,7 @@
 use yuccatrail_core::membership::InstanceRecord;
 use yuccatrail_platform::{Client, ClientSettings, Kind};
 
-use super::tap::{Tap, Traffic};
+use super::proxy::{CountingProxy, Traffic};
 use crate::{
     bench::throughput::usage,
     measure::usage::Usage,
@@ -28,13 +28,13 @@
 /// Time for which the processes settle after all connections are open.
 const SETTLE: Duration = Duration::from_millis(1500);
 
-/// An agent or entry whose connections pass a tap.
+/// An agent or entry whose connections pass a proxy.
 #[derive(Debug)]
-pub struct Tapped {
+pub struct ProxiedProcess {
     /// The process.
     pub process: Process,
-    /// The tap in front of it.
-    pub tap: Tap,
+    /// The proxy in front of it.
+    pub proxy: CountingProxy,
 }
 
 /// Running processes.
@@ -42,16 +42,16 @@
 pub struct Rig {
     /// The platform stand-in.
     pub platform: Process,
-    /// The tap between the entries and the platform.
-    pub platform_tap: Tap,
+    /// The proxy between the entries and the platform.
+    pub platform_proxy: CountingProxy,
     /// Client of the platform.
     pub client: Client,
     /// The one upstream stand-in, which all agents use.
     pub upstream: Process,
     /// Agents.
-    pub agents: Vec<Tapped>,
+    pub agents: Vec<ProxiedProcess>,
     /// Entries.
-    pub entries: Vec<Tapped>,
+    pub entries: Vec<ProxiedProcess>,
     /// Caller for requests and switches.
     pub caller: Caller,
 }
@@ -87,12 +87,13 @@
             environment: ENVIRONMENT.to_owned(),
             ..ClientSettings::default()
         });
-        let platform_tap = Tap::open(platform.address).await.map_err(ProcessError::from)?;
+        let platform_proxy =
+            CountingProxy::open(platform.address).await.map_err(ProcessError::from)?;
         promote(&client, 1, document).await?;
         let upstream = start_upstream(&UpstreamPlan::new("shared", 0), "127.0.0.1:0").await?;
         let mut rig = Self {
             platform,
-            platform_tap,
+            platform_proxy,
             client,
             upstream,
             agents: Vec::new(),
@@ -118,16 +119,16 @@
     pub async fn read(&self) -> Result<Reading, StackError> {
         let mut reading = Reading {
             platform: self.platform_counters().await?,
-            platform_traffic: self.platform_tap.traffic(),
+            platform_traffic: self.platform_proxy.traffic(),
             ..Reading::default()
         };
         for entry in &self.entries {
             reading.entries = reading.entries.plus(usage(&entry.process));
-            reading.gossip = reading.gossip.plus(entry.tap.traffic());
+            reading.gossip = reading.gossip.plus(entry.proxy.traffic());
         }
         for agent in &self.agents {
             reading.agents = reading.agents.plus(usage(&agent.process));
-            reading.links = reading.links.plus(agent.tap.traffic());
+            reading.links = reading.links.plus(agent.proxy.traffic());
         }
         Ok(reading)
     }
@@ -149,12 +150,12 @@
     ///
     /// Returns an error when a process cannot be ended.
     pub async fn close(self) -> Result<(), StackError> {
-        for tapped in self.entries.into_iter().chain(self.agents) {
-            tapped.process.kill().await?;
-            tapped.tap.close();
+        for proxied in self.entries.into_iter().chain(self.agents) {
+            proxied.process.kill().await?;
+            proxied.proxy.close();
         }
         self.upstream.kill().await?;
-        self.platform_tap.close();
+        self.platform_proxy.close();
         self.platform.kill().await?;
         Ok(())
     }
@@ -163,24 +164,26 @@
         let pool = DEMO_POOLS[number % DEMO_POOLS.len()];
         let plan = UpstreamPlan::new(pool, number);
         let process = start_agent(&plan, self.upstream.address, "127.0.0.1:0").await?;
-        let tap = Tap::open(process.address).await.map_err(ProcessError::from)?;
-        let record =
-            InstanceRecord { address: tap.address, ..UpstreamPair::record(&plan, process.address) };
+        let proxy = CountingProxy::open(process.address).await.map_err(ProcessError::from)?;
+        let record = InstanceRecord {
+            address: proxy.address,
+            ..UpstreamPair::record(&plan, process.address)
+        };
         self.client.create(Kind::Instances, &record.name, &record).await?;
-        self.agents.push(Tapped { process, tap });
+        self.agents.push(ProxiedProcess { process, proxy });
         Ok(())
     }
 
     async fn add_entry(&mut self, number: usize) -> Result<(), StackError> {
         let data_centre = crate::stack::plan::data_centre(number);
         let name = format!("entry-{number}");
-        let process = start_entry(&name, data_centre, self.platform_tap.address).await?;
+        let process = start_entry(&name, data_centre, self.platform_proxy.address).await?;
         let peer = process.admin_address.unwrap_or(process.address);
-        let tap = Tap::open(peer).await.map_err(ProcessError::from)?;
+        let proxy = CountingProxy::open(peer).await.map_err(ProcessError::from)?;
         let record =
-            InstanceRecord { address: tap.address, ..entry_instance(&process, data_centre) };
+            InstanceRecord { address: proxy.address, ..entry_instance(&process, data_centre) };
         self.client.create(Kind::Instances, &name, &record).await?;
-        self.entries.push(Tapped { process, tap });
+        self.entries.push(ProxiedProcess { process, proxy });
         Ok(())
     }
 
@@ -191,7 +194,7 @@
         Ok(())
     }
 
-    async fn wait_entry(&self, entry: &Tapped) -> Result<(), StackError> {
+    async fn wait_entry(&self, entry: &ProxiedProcess) -> Result<(), StackError> {
         for _ in 0..POLL_LIMIT {
             let address = entry.process.address;
             let answer = self.caller.send(address, "GET", "/v1/status", &[], "").await;
