--- a/crates/fakes/src/bench/closed_loop.rs
+++ b/crates/fakes/src/bench/closed_loop.rs
@@ -1,4 +1,4 @@
-//! Closed loop: each caller makes its next call as soon as the last one ended.
+//! Closed-loop load: each caller makes its next call as soon as its previous one has ended.
 
 use std::{
     collections::BTreeMap,
@@ -15,70 +15,76 @@
 
 use crate::load::tally::histogram;
 
-/// Numbers of calls without the right answer, by what came instead.
-pub type Faults = BTreeMap<String, u64>;
+/// Number of failed calls by error: a broken exchange, a problem document or a wrong response.
+pub type ErrorCounts = BTreeMap<String, u64>;
 
-/// Results of a closed loop.
+/// Results of a closed-loop run.
 #[derive(Clone, Debug)]
-pub struct ClosedLoop {
-    /// Latency of right answers, in microseconds.
+pub struct ClosedLoopResult {
+    /// Latency of successful calls, in microseconds.
     pub latency_us: Histogram<u64>,
-    /// Calls without the right answer, by what came instead.
-    pub faults: Faults,
-    /// Length of the run in seconds.
+    /// Failed calls by error.
+    pub errors: ErrorCounts,
+    /// Duration of the run in seconds, until the last call has ended.
     pub seconds: f64,
 }
 
-impl ClosedLoop {
-    /// Returns the right answers a second.
+impl ClosedLoopResult {
+    /// Returns the successful calls per second.
     pub fn per_second(&self) -> f64 {
         self.latency_us.len() as f64 / self.seconds
     }
 }
 
-/// Runs `callers` callers for `length`; `call` gets a number of its own and returns what came
-/// instead of the right answer, if so.
-pub async fn run<F, Fut>(callers: usize, length: Duration, call: F) -> ClosedLoop
+/// Runs `callers` concurrent callers for `duration`.
+///
+/// Each `call` gets a number that is unique in the run, and returns an error when the call fails
+/// or its response is not the expected one.
+pub async fn run<F, Fut>(callers: usize, duration: Duration, call: F) -> ClosedLoopResult
 where
     F: Fn(u64) -> Fut + Clone + Send + 'static,
     Fut: Future<Output = Result<(), String>> + Send + 'static,
 {
-    let next = Arc::new(AtomicU64::new(0));
-    let start = Instant::now();
+    let next_number = Arc::new(AtomicU64::new(0));
+    let run_started = Instant::now();
     let mut tasks = JoinSet::new();
     for _ in 0..callers {
-        tasks.spawn(one_caller(start + length, next.clone(), call.clone()));
+        tasks.spawn(run_caller(run_started + duration, next_number.clone(), call.clone()));
     }
     let mut latency_us = histogram();
-    let mut faults = Faults::new();
+    let mut errors = ErrorCounts::new();
     while let Some(joined) = tasks.join_next().await {
-        let Ok((times, failed)) = joined else {
-            *faults.entry("caller failed".to_owned()).or_default() += 1;
+        let Ok((caller_latency_us, caller_errors)) = joined else {
+            *errors.entry("caller failed".to_owned()).or_default() += 1;
             continue;
         };
-        for (fault, count) in failed {
-            *faults.entry(fault).or_default() += count;
+        for (error, count) in caller_errors {
+            *errors.entry(error).or_default() += count;
         }
-        // Both histograms have the same bounds, so adding cannot fail.
-        let _ = latency_us.add(times);
+        // Cannot fail: both histograms have the same bounds.
+        let _ = latency_us.add(caller_latency_us);
     }
-    ClosedLoop { latency_us, faults, seconds: start.elapsed().as_secs_f64() }
+    ClosedLoopResult { latency_us, errors, seconds: run_started.elapsed().as_secs_f64() }
 }
 
-async fn one_caller<F, Fut>(end: Instant, next: Arc<AtomicU64>, call: F) -> (Histogram<u64>, Faults)
+async fn run_caller<F, Fut>(
+    end: Instant,
+    next_number: Arc<AtomicU64>,
+    call: F,
+) -> (Histogram<u64>, ErrorCounts)
 where
     F: Fn(u64) -> Fut,
     Fut: Future<Output = Result<(), String>>,
 {
-    let mut times = histogram();
-    let mut faults = Faults::new();
+    let mut caller_latency_us = histogram();
+    let mut errors = ErrorCounts::new();
     while Instant::now() < end {
-        let number = next.fetch_add(1, Ordering::Relaxed);
-        let begin = Instant::now();
+        let number = next_number.fetch_add(1, Ordering::Relaxed);
+        let started = Instant::now();
         match call(number).await {
-            Ok(()) => times.saturating_record(begin.elapsed().as_micros() as u64),
-            Err(fault) => *faults.entry(fault).or_default() += 1,
+            Ok(()) => caller_latency_us.saturating_record(started.elapsed().as_micros() as u64),
+            Err(error) => *errors.entry(error).or_default() += 1,
         }
     }
-    (times, faults)
+    (caller_latency_us, errors)
 }
--- a/crates/fakes/src/bench/direct.rs
+++ b/crates/fakes/src/bench/direct.rs
@@ -1,4 +1,6 @@
-//! The same work as through the system, with the stand-ins called directly.
+//! The service calls and pipelines of the benchmark, made directly at the upstream stand-ins.
+//!
+//! They give the latency without entry and agent.
 
 use std::net::SocketAddr;
 
@@ -15,91 +17,99 @@
     upstream::engine,
 };
 
-/// Documents that the demo pipeline retrieves.
-const RETRIEVED: usize = 6;
-/// Documents that the demo pipeline keeps.
-const KEPT: usize = 3;
-/// Tokens that the demo pipeline generates.
-const TOKENS: usize = 16;
-/// Event that ends a stream of tokens.
+/// Number of documents that the retriever returns in the demo pipeline.
+const SEARCH_LIMIT: usize = 6;
+/// Number of documents that the reranker returns in the demo pipeline.
+const RERANK_TOP_N: usize = 3;
+/// Number of tokens that the engine generates in the demo pipeline.
+const MAX_TOKENS: usize = 16;
+/// Data of the event that ends a token stream.
 const STREAM_END: &str = "[DONE]";
 
-/// Addresses of one stand-in for each stage of the demo pipeline.
+/// Addresses of one upstream stand-in for each stage of the demo pipeline.
 #[derive(Clone, Copy, Debug)]
 pub struct StageAddresses {
-    /// Encoder.
+    /// Stand-in in pool `encoders`.
     pub encoder: SocketAddr,
-    /// Retriever.
+    /// Stand-in in pool `retrievers`.
     pub retriever: SocketAddr,
-    /// Reranker.
+    /// Stand-in in pool `rerankers`.
     pub reranker: SocketAddr,
-    /// Engine.
+    /// Stand-in in pool `engines`.
     pub engine: SocketAddr,
 }
 
-/// Calls a service stand-in.
+/// Calls a service at its upstream stand-in.
 ///
 /// # Errors
 ///
-/// Returns what came instead of the right answer.
-pub async fn service(caller: &Caller, upstream: SocketAddr, number: u64) -> Result<(), String> {
+/// Returns the errors of [`check_response`].
+pub async fn call_service(
+    caller: &Caller,
+    upstream: SocketAddr,
+    number: u64,
+) -> Result<(), String> {
     let path = format!("/order/{number}");
-    let answer = caller.send(upstream, "GET", &path, &[], "").await;
-    expect(answer, |body| *body == engine::serve_call("GET", &path, ""))
+    let response = caller.send(upstream, "GET", &path, &[], "").await;
+    check_response(response, |body| *body == engine::serve_call("GET", &path, ""))
 }
 
-/// Compares an answer with the expected one.
+/// Checks that a response has status 200 and the expected body.
 ///
 /// # Errors
 ///
-/// Returns what came instead of the right answer: the reason and outcome of a problem document, the
-/// fault of the exchange, or `wrong answer`.
-pub fn expect(
-    answer: Result<Answer, CallerError>,
-    is_right: impl FnOnce(&Value) -> bool,
+/// Returns `reason/outcome` of a problem document, the detail of a broken HTTP exchange, or
+/// `wrong answer` for any other response.
+pub fn check_response(
+    response: Result<Answer, CallerError>,
+    is_expected: impl FnOnce(&Value) -> bool,
 ) -> Result<(), String> {
-    let answer = answer.map_err(|it| it.detail)?;
-    if answer.status == 200 && is_right(&answer.body) {
+    let response = response.map_err(|it| it.detail)?;
+    if response.status == 200 && is_expected(&response.body) {
         return Ok(());
     }
-    let text = |name: &str| answer.body[name].as_str().map(str::to_owned);
+    let text = |name: &str| response.body[name].as_str().map(str::to_owned);
     match (text("reason"), text("outcome")) {
         (Some(reason), Some(outcome)) => Err(format!("{reason}/{outcome}")),
         _ => Err("wrong answer".to_owned()),
     }
 }
 
-/// Runs the demo pipeline's four calls in order.
+/// Calls the four stages of the demo pipeline in order and checks the generated text.
 ///
 /// # Errors
 ///
-/// Returns what came instead of the right text.
-pub async fn pipeline(caller: &Caller, stages: StageAddresses, input: &str) -> Result<(), String> {
-    let text = four_calls(caller, stages, input).await.map_err(|it| it.detail)?;
+/// Returns the detail of a broken HTTP exchange, or `wrong answer` for an unexpected text.
+pub async fn run_pipeline(
+    caller: &Caller,
+    stages: StageAddresses,
+    input: &str,
+) -> Result<(), String> {
+    let text = call_stages(caller, stages, input).await.map_err(|it| it.detail)?;
     if text == expected::pipeline(input).text { Ok(()) } else { Err("wrong answer".to_owned()) }
 }
 
-async fn four_calls(
+async fn call_stages(
     caller: &Caller,
     stages: StageAddresses,
     input: &str,
 ) -> Result<String, CallerError> {
     let encoded = post(caller, stages.encoder, "/v1/embeddings", json!({ "input": input })).await?;
     let vector = &encoded["data"][0]["embedding"];
-    let body = json!({ "vector": vector, "limit": RETRIEVED, "query": input });
-    let found = post(caller, stages.retriever, "/v1/search", body).await?;
-    let documents = &found["documents"];
-    let body = json!({ "query": input, "documents": documents, "top_n": KEPT });
-    let ranked = post(caller, stages.reranker, "/v1/rerank", body).await?;
+    let body = json!({ "vector": vector, "limit": SEARCH_LIMIT, "query": input });
+    let search = post(caller, stages.retriever, "/v1/search", body).await?;
+    let documents = &search["documents"];
+    let body = json!({ "query": input, "documents": documents, "top_n": RERANK_TOP_N });
+    let reranked = post(caller, stages.reranker, "/v1/rerank", body).await?;
     let mut prompt = String::new();
-    for result in ranked["results"].as_array().map_or(&[][..], Vec::as_slice) {
+    for result in reranked["results"].as_array().map_or(&[][..], Vec::as_slice) {
         let index = result["index"].as_u64().unwrap_or_default() as usize;
         prompt.push_str(documents[index].as_str().unwrap_or_default());
         prompt.push('\n');
     }
     prompt.push_str(input);
-    let body = json!({ "prompt": prompt, "max_tokens": TOKENS, "stream": true });
-    complete(caller, stages.engine, body).await
+    let body = json!({ "prompt": prompt, "max_tokens": MAX_TOKENS, "stream": true });
+    stream_completion(caller, stages.engine, body).await
 }
 
 async fn post(
@@ -111,7 +121,7 @@
     Ok(caller.send(address, "POST", path, &[], body.to_string()).await?.body)
 }
 
-async fn complete(
+async fn stream_completion(
     caller: &Caller,
     address: SocketAddr,
     body: Value,
@@ -129,5 +139,5 @@
         let chunk: Value = serde_json::from_str(&event.data).unwrap_or_default();
         text.push_str(chunk["choices"][0]["text"].as_str().unwrap_or_default());
     }
-    Err(CallerError { detail: "the stream was cut".to_owned() })
+    Err(CallerError { detail: "token stream ended without its end event".to_owned() })
 }
--- a/crates/fakes/src/bench/mod.rs
+++ b/crates/fakes/src/bench/mod.rs
@@ -1,4 +1,4 @@
-//! Benchmark of the request path over real processes, with the same calls made directly beside it.
+//! Benchmark of the request path over real processes, compared with direct calls of the upstreams.
 
 pub mod closed_loop;
 pub mod direct;
--- a/crates/fakes/src/bench/overhead.rs
+++ b/crates/fakes/src/bench/overhead.rs
@@ -1,11 +1,11 @@
-//! Latency that entry and agent add to a call, with one caller.
+//! Latency that entry and agent add to a call, measured with one caller.
 
 use std::time::Duration;
 
 use super::{
-    closed_loop::{self, ClosedLoop},
+    closed_loop::{self, ClosedLoopResult},
     direct::{self, StageAddresses},
-    report::{Added, Compared},
+    report::{AddedLatency, Comparison},
 };
 use crate::{
     load::report::Quantiles,
@@ -17,92 +17,107 @@
     upstream::engine,
 };
 
-/// Number of stages of the demo pipeline.
-const STAGES: f64 = 4.0;
-/// Length of the calls made before the first round, which open connections and warm the upstreams.
-const WARM_UP: Duration = Duration::from_millis(1500);
+/// Number of stage calls in one run of the demo pipeline.
+const STAGE_CALLS: f64 = 4.0;
+/// Duration of each warm-up before the first round; it opens connections and warms the upstreams.
+const WARM_UP_DURATION: Duration = Duration::from_millis(1500);
 
-/// Measures `rounds` rounds, in which direct calls and calls through the system take turns.
+/// Compares direct calls with calls through entry and agents in `rounds` rounds.
+///
+/// Direct and indirect calls alternate within each round.
 ///
 /// # Errors
 ///
-/// Returns an error when the stack has no upstream for a stage.
+/// Returns an error when the stack has no upstream in a pool that the calls need.
 pub async fn measure(
     stack: &Stack,
     rounds: usize,
-    length: Duration,
-) -> Result<Vec<Compared>, StackError> {
+    duration: Duration,
+) -> Result<Vec<Comparison>, StackError> {
     let caller = Caller::new("lone-star");
     let stages = stage_addresses(stack)?;
     let service = upstream_address(stack, "work-orders")?;
-    through_service(stack, &caller, WARM_UP).await;
-    through_pipeline(stack, &caller, WARM_UP).await;
-    let mut compared = Vec::new();
+    service_through_entry(stack, &caller, WARM_UP_DURATION).await;
+    pipeline_through_entry(stack, &caller, WARM_UP_DURATION).await;
+    let mut comparisons = Vec::new();
     for _ in 0..rounds {
         let direct_caller = caller.clone();
-        let direct_service = closed_loop::run(1, length, move |number| {
+        let direct_service = closed_loop::run(1, duration, move |number| {
             let caller = direct_caller.clone();
-            async move { direct::service(&caller, service, number).await }
+            async move { direct::call_service(&caller, service, number).await }
         })
         .await;
-        let through = through_service(stack, &caller, length).await;
-        compared.push(compare("service call", 1.0, &direct_service, &through));
+        let through = service_through_entry(stack, &caller, duration).await;
+        comparisons.push(compare("service call", 1.0, &direct_service, &through));
         let direct_caller = caller.clone();
-        let direct_pipeline = closed_loop::run(1, length, move |number| {
+        let direct_pipeline = closed_loop::run(1, duration, move |number| {
             let caller = direct_caller.clone();
-            async move { direct::pipeline(&caller, stages, &format!("riser {number}")).await }
+            async move { direct::run_pipeline(&caller, stages, &format!("riser {number}")).await }
         })
         .await;
-        let through = through_pipeline(stack, &caller, length).await;
-        compared.push(compare("pipeline", STAGES, &direct_pipeline, &through));
+        let through = pipeline_through_entry(stack, &caller, duration).await;
+        comparisons.push(compare("pipeline", STAGE_CALLS, &direct_pipeline, &through));
     }
-    Ok(compared)
+    Ok(comparisons)
 }
 
-async fn through_service(stack: &Stack, caller: &Caller, length: Duration) -> ClosedLoop {
+async fn service_through_entry(
+    stack: &Stack,
+    caller: &Caller,
+    duration: Duration,
+) -> ClosedLoopResult {
     let entry = stack.entry(0);
     let caller = caller.clone();
-    closed_loop::run(1, length, move |number| {
+    closed_loop::run(1, duration, move |number| {
         let caller = caller.clone();
         async move {
             let path = format!("/order/{number}");
             let target = format!("/v1/services/work-orders{path}");
-            let answer = caller.send(entry, "GET", &target, &[], "").await;
-            direct::expect(answer, |it| *it == engine::serve_call("GET", &path, ""))
+            let response = caller.send(entry, "GET", &target, &[], "").await;
+            direct::check_response(response, |it| *it == engine::serve_call("GET", &path, ""))
         }
     })
     .await
 }
 
-async fn through_pipeline(stack: &Stack, caller: &Caller, length: Duration) -> ClosedLoop {
+async fn pipeline_through_entry(
+    stack: &Stack,
+    caller: &Caller,
+    duration: Duration,
+) -> ClosedLoopResult {
     let entry = stack.entry(0);
     let caller = caller.clone();
-    closed_loop::run(1, length, move |number| {
+    closed_loop::run(1, duration, move |number| {
         let caller = caller.clone();
         async move {
             let input = format!("riser {number}");
-            let answer = caller.pipeline(entry, "read-back", &input).await;
+            let response = caller.pipeline(entry, "read-back", &input).await;
             let expected = expected::pipeline(&input).text;
-            direct::expect(answer, |it| it["output"]["text"] == expected.as_str())
+            direct::check_response(response, |it| it["output"]["text"] == expected.as_str())
         }
     })
     .await
 }
 
-fn compare(what: &str, stage_calls: f64, direct: &ClosedLoop, through: &ClosedLoop) -> Compared {
-    let direct_times = Quantiles::of(&direct.latency_us);
-    let through_times = Quantiles::of(&through.latency_us);
+fn compare(
+    call: &str,
+    stage_calls: f64,
+    direct: &ClosedLoopResult,
+    through: &ClosedLoopResult,
+) -> Comparison {
+    let direct_latency = Quantiles::of(&direct.latency_us);
+    let through_latency = Quantiles::of(&through.latency_us);
     let added =
         |direct_us: u64, through_us: u64| (through_us as f64 - direct_us as f64) / stage_calls;
-    Compared {
-        what: what.to_owned(),
-        direct: direct_times,
-        through: through_times,
-        added_per_stage: Added {
-            p50_us: added(direct_times.p50_us, through_times.p50_us),
-            p99_us: added(direct_times.p99_us, through_times.p99_us),
+    Comparison {
+        call: call.to_owned(),
+        direct: direct_latency,
+        through: through_latency,
+        added_per_stage: AddedLatency {
+            p50_us: added(direct_latency.p50_us, through_latency.p50_us),
+            p99_us: added(direct_latency.p99_us, through_latency.p99_us),
         },
-        faults: direct.faults.values().chain(through.faults.values()).sum(),
+        errors: direct.errors.values().chain(through.errors.values()).sum(),
     }
 }
 
--- a/crates/fakes/src/bench/report.rs
+++ b/crates/fakes/src/bench/report.rs
@@ -1,77 +1,80 @@
-//! Results of the benchmark as JSON and as tables.
+//! Results of the benchmark, written as JSON and as text tables.
 
 use std::fmt::Write;
 
 use serde::{Deserialize, Serialize};
 
-use super::closed_loop::Faults;
+use super::closed_loop::ErrorCounts;
 use crate::{load::report::Quantiles, measure::machine::Machine};
 
-/// Latency added for each stage call.
+/// Latency that entry and agent add to each stage call.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Added {
-    /// At the median, in microseconds.
+pub struct AddedLatency {
+    /// Difference of the medians, in microseconds.
     pub p50_us: f64,
-    /// At the 99th percentile, in microseconds.
+    /// Difference of the 99th percentiles, in microseconds.
     pub p99_us: f64,
 }
 
-/// Direct calls and calls through the system in one round.
+/// Latency of direct calls and of calls through entry and agents in one round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
-pub struct Compared {
-    /// What was called.
-    pub what: String,
+pub struct Comparison {
+    /// Kind of call: `service call` or `pipeline`.
+    #[serde(rename = "what")]
+    pub call: String,
     /// Latency of direct calls.
     pub direct: Quantiles,
-    /// Latency through entry and agents.
+    /// Latency of calls through entry and agents.
     pub through: Quantiles,
-    /// Difference, divided by the number of stage calls.
-    pub added_per_stage: Added,
-    /// Calls without the right answer.
-    pub faults: u64,
+    /// Latency of `through` minus `direct`, divided by the number of stage calls.
+    pub added_per_stage: AddedLatency,
+    /// Failed calls, direct and through entry and agents.
+    #[serde(rename = "faults")]
+    pub errors: u64,
 }
 
-/// One round of most calls a second.
+/// Results of one throughput round.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Throughput {
-    /// Callers, each with one call in progress.
+    /// Concurrent callers, each with one call in flight.
     pub callers: usize,
-    /// Right answers a second.
+    /// Successful calls per second.
     pub per_second: f64,
-    /// Latency of right answers.
+    /// Latency of successful calls.
     pub latency: Quantiles,
-    /// Calls without the right answer, by what came instead.
-    pub faults: Faults,
-    /// Processor time of the entry for each call, in microseconds.
+    /// Failed calls by error.
+    #[serde(rename = "faults")]
+    pub errors: ErrorCounts,
+    /// Processor time of the entry per successful call, in microseconds.
     pub entry_cpu_us: f64,
-    /// Processor time of all agents for each call, in microseconds.
+    /// Processor time of all agents per successful call, in microseconds.
     pub agent_cpu_us: f64,
-    /// Processor time of all upstream stand-ins for each call, in microseconds.
+    /// Processor time of all upstream stand-ins per successful call, in microseconds.
     pub upstream_cpu_us: f64,
-    /// Processor time of the callers for each call, in microseconds.
+    /// Processor time of the benchmark process itself per successful call, in microseconds.
     pub caller_cpu_us: f64,
 }
 
-/// Results of the benchmark.
+/// Results of a benchmark run.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct BenchReport {
-    /// Where and when it ran.
+    /// Machine, build and start time of the run.
     pub machine: Machine,
-    /// Rounds with one caller.
-    pub overhead: Vec<Compared>,
-    /// Rounds with many callers.
+    /// Latency rounds, with one caller.
+    pub overhead: Vec<Comparison>,
+    /// Throughput rounds, with many callers.
     pub throughput: Vec<Throughput>,
 }
 
 impl Throughput {
-    /// Returns the calls a second that one core of processor time in entry and agent carries.
+    /// Returns the calls per second that one core of processor time in entry and agents serves.
     pub fn per_core(&self) -> f64 {
         1_000_000.0 / (self.entry_cpu_us + self.agent_cpu_us)
     }
 }
 
 impl BenchReport {
-    /// Formats the tables.
+    /// Formats the results as text tables.
     pub fn table(&self) -> String {
         let mut table = format!("{}\n\n", self.machine);
         self.write_overhead(&mut table);
@@ -90,14 +93,14 @@
             let _ = writeln!(
                 table,
                 "{:<14}{:>10.3}{:>10.3}{:>10.3}{:>10.3}{:>18.3}{:>18.3}{:>8}",
-                round.what,
-                millis(round.direct.p50_us),
-                millis(round.direct.p99_us),
-                millis(round.through.p50_us),
-                millis(round.through.p99_us),
+                round.call,
+                us_to_ms(round.direct.p50_us),
+                us_to_ms(round.direct.p99_us),
+                us_to_ms(round.through.p50_us),
+                us_to_ms(round.through.p99_us),
                 round.added_per_stage.p50_us / 1000.0,
                 round.added_per_stage.p99_us / 1000.0,
-                round.faults
+                round.errors
             );
         }
     }
@@ -124,22 +127,22 @@
                 "{:>8}{:>12.0}{:>10.2}{:>10.2}{:>8}{:>10.1}{:>10.1}{:>10.1}{:>10.1}{:>12.0}",
                 round.callers,
                 round.per_second,
-                millis(round.latency.p50_us),
-                millis(round.latency.p99_us),
-                round.faults.values().sum::<u64>(),
+                us_to_ms(round.latency.p50_us),
+                us_to_ms(round.latency.p99_us),
+                round.errors.values().sum::<u64>(),
                 round.entry_cpu_us,
                 round.agent_cpu_us,
                 round.upstream_cpu_us,
                 round.caller_cpu_us,
                 round.per_core()
             );
-            for (fault, count) in &round.faults {
-                let _ = writeln!(table, "          {count} x {fault}");
+            for (error, count) in &round.errors {
+                let _ = writeln!(table, "          {count} x {error}");
             }
         }
     }
 }
 
-fn millis(us: u64) -> f64 {
+fn us_to_ms(us: u64) -> f64 {
     us as f64 / 1000.0
 }
--- a/crates/fakes/src/capacity/calls.rs
+++ b/crates/fakes/src/capacity/calls.rs
@@ -195,7 +195,7 @@
             let path = "/v1/services/work-orders/notices";
             let headers = [("idempotency-key", key.as_str())];
             let answer = caller.send(entry, "POST", path, &headers, "{}").await;
-            direct::expect(answer, |_| true)
+            direct::check_response(answer, |_| true)
         }
     })
     .await;
--- a/crates/fakes/src/capacity/rig.rs
+++ b/crates/fakes/src/capacity/rig.rs
@@ -7,7 +7,7 @@
 
 use super::proxy::{CountingProxy, Traffic};
 use crate::{
-    bench::throughput::usage,
+    bench::throughput::process_usage,
     measure::usage::Usage,
     platform::Counters,
     stack::{
@@ -123,11 +123,11 @@
             ..Reading::default()
         };
         for entry in &self.entries {
-            reading.entries = reading.entries.plus(usage(&entry.process));
+            reading.entries = reading.entries.plus(process_usage(&entry.process));
             reading.gossip = reading.gossip.plus(entry.proxy.traffic());
         }
         for agent in &self.agents {
-            reading.agents = reading.agents.plus(usage(&agent.process));
+            reading.agents = reading.agents.plus(process_usage(&agent.process));
             reading.links = reading.links.plus(agent.proxy.traffic());
         }
         Ok(reading)
