--- a/crates/fakes/src/measure/fit.rs
+++ b/crates/fakes/src/measure/fit.rs
@@ -1,29 +1,31 @@
-//! Least-squares fit of a straight line.
+//! Linear regression by least squares.
 
 use serde::{Deserialize, Serialize};
 
 /// A measured point.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Point {
-    /// Size at which the value was measured.
+    /// Independent variable, for example the number of connected agents.
     pub size: f64,
-    /// Measured value.
+    /// Measured value at that size.
     pub value: f64,
 }
 
-/// A straight line through measured points.
+/// Least-squares line through measured points.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Fit {
-    /// Value at size zero.
+    /// Intercept: value of the line at size zero.
     pub base: f64,
-    /// Increase of the value for one more unit of size.
+    /// Increase of the value per unit of size.
     pub slope: f64,
-    /// Part of the variance that the line explains, from 0 to 1.
+    /// Coefficient of determination: fraction of the variance that the line explains, from 0 to 1.
     pub r_squared: f64,
 }
 
 impl Fit {
-    /// Fits a line to the points, of which there must be two with different sizes.
+    /// Fits a line to the points.
+    ///
+    /// At least two points must differ in size; otherwise the slope is not finite.
     pub fn of(points: &[Point]) -> Self {
         let count = points.len() as f64;
         let mean_size = points.iter().map(|it| it.size).sum::<f64>() / count;
@@ -44,7 +46,7 @@
         Self { base: mean_value - slope * mean_size, slope, r_squared }
     }
 
-    /// Returns the value that the line gives for a size.
+    /// Returns the value of the line at a size.
     pub fn at(self, size: f64) -> f64 {
         self.base + self.slope * size
     }
--- a/crates/fakes/src/measure/machine.rs
+++ b/crates/fakes/src/measure/machine.rs
@@ -1,4 +1,4 @@
-//! Description of the machine and the build that a measurement ran on.
+//! Description of the machine and the build that a measurement runs on.
 
 use std::{fs, process::Command};
 
@@ -6,43 +6,43 @@
 use serde::{Deserialize, Serialize};
 use time::{OffsetDateTime, format_description::well_known::Rfc3339};
 
-/// Machine, build and time of a measurement.
+/// Machine, build and start time of a measurement.
 #[derive(Clone, Debug, Display, PartialEq, Serialize, Deserialize)]
 #[display(
     "{date}, commit {commit}, {build} build, {processor}, {cores} cores, {memory_mib} MiB, \
      Linux {kernel}, load {load_before}"
 )]
 pub struct Machine {
-    /// Start of the measurement (RFC 3339, UTC).
+    /// Start time of the measurement (RFC 3339, UTC).
     pub date: String,
-    /// Commit of the working copy, if it can be told.
+    /// Abbreviated hash of the checked-out Git commit, or `unknown`.
     pub commit: String,
-    /// Version of the package.
+    /// Version of the `yuccatrail-fakes` package.
     pub version: String,
-    /// `release` or `debug`.
+    /// Build profile: `release` or `debug`.
     pub build: String,
-    /// Model of the processor.
+    /// Model name of the processor.
     pub processor: String,
-    /// Processors that the process may use.
+    /// Number of logical processors that the process may use.
     pub cores: usize,
-    /// Memory in mebibytes.
+    /// Total memory in mebibytes.
     pub memory_mib: u64,
-    /// Version of the kernel.
+    /// Release of the Linux kernel.
     pub kernel: String,
-    /// Mean number of runnable threads in the minute before the measurement.
+    /// One-minute load average at the start of the measurement.
     pub load_before: String,
 }
 
 impl Machine {
-    /// Describes the machine now.
+    /// Describes the current machine and build; unreadable values get a default.
     pub fn describe() -> Self {
         let build = if cfg!(debug_assertions) { "debug" } else { "release" };
         Self {
             date: OffsetDateTime::now_utc().format(&Rfc3339).unwrap_or_default(),
-            commit: commit().unwrap_or_else(|| "unknown".to_owned()),
+            commit: git_commit().unwrap_or_else(|| "unknown".to_owned()),
             version: env!("CARGO_PKG_VERSION").to_owned(),
             build: build.to_owned(),
-            processor: field("/proc/cpuinfo", "model name").unwrap_or_default(),
+            processor: field_value("/proc/cpuinfo", "model name").unwrap_or_default(),
             cores: std::thread::available_parallelism().map_or(1, usize::from),
             memory_mib: memory_mib(),
             kernel: first_word("/proc/sys/kernel/osrelease"),
@@ -51,7 +51,7 @@
     }
 }
 
-fn commit() -> Option<String> {
+fn git_commit() -> Option<String> {
     let output = Command::new("git").args(["rev-parse", "--short", "HEAD"]).output().ok()?;
     let text = String::from_utf8(output.stdout).ok()?;
     let commit = text.trim();
@@ -59,13 +59,13 @@
 }
 
 fn memory_mib() -> u64 {
-    let text = field("/proc/meminfo", "MemTotal").unwrap_or_default();
+    let text = field_value("/proc/meminfo", "MemTotal").unwrap_or_default();
     let kib: u64 = text.split_whitespace().next().and_then(|it| it.parse().ok()).unwrap_or(0);
     kib / 1024
 }
 
-/// Returns the value of a `name: value` line.
-fn field(path: &str, name: &str) -> Option<String> {
+/// Returns the value of the first `name: value` line in a file.
+fn field_value(path: &str, name: &str) -> Option<String> {
     let text = fs::read_to_string(path).ok()?;
     let line = text.lines().find(|it| it.starts_with(name))?;
     Some(line.split_once(':')?.1.trim().to_owned())
--- a/crates/fakes/src/measure/mod.rs
+++ b/crates/fakes/src/measure/mod.rs
@@ -1,4 +1,5 @@
-//! What measurements share: process accounting, the machine, and straight-line fits.
+//! Shared parts of measurements: resource usage of processes, description of the machine, and line
+//! fits.
 
 pub mod fit;
 pub mod machine;
