--- a/crates/fakes/src/commands/bench.rs
+++ b/crates/fakes/src/commands/bench.rs
@@ -1,4 +1,4 @@
-//! The `bench` subcommand: latency and throughput of the request path over real processes.
+//! The `bench` subcommand: measures latency and throughput of the request path over real processes.
 
 use std::{path::PathBuf, process::ExitCode, time::Duration};
 
@@ -12,11 +12,11 @@
     },
 };
 
-/// Callers of the throughput rounds.
-const CALLERS: [usize; 3] = [16, 64, 128];
-/// Upstreams of the service pool in the throughput rounds.
+/// Numbers of concurrent callers in the throughput rounds.
+const CALLER_COUNTS: [usize; 3] = [16, 64, 128];
+/// Number of upstreams in the service pool for the throughput rounds.
 const SERVICE_UPSTREAMS: usize = 8;
-/// Most rounds.
+/// Maximum number of rounds of each measurement.
 const MAX_ROUNDS: usize = 20;
 
 /// Arguments of the subcommand.
@@ -27,7 +27,7 @@
     json: Option<PathBuf>,
 }
 
-/// Parses the arguments.
+/// Returns the parser of the arguments.
 pub(crate) fn arguments() -> impl Parser<Arguments> {
     let rounds = long("rounds")
         .help("Rounds of each measurement, up to 20")
@@ -48,12 +48,12 @@
 /// Runs the benchmark and prints its results.
 pub(crate) async fn run(arguments: Arguments) -> ExitCode {
     if cfg!(debug_assertions) {
-        eprintln!("this is a debug build; figures of a release build differ");
+        eprintln!("warning: measuring a debug build; results of a release build differ");
     }
     let report = match measure(&arguments).await {
         Ok(report) => report,
         Err(error) => {
-            eprintln!("bench failed: {error}");
+            eprintln!("benchmark failed: {error}");
             return ExitCode::FAILURE;
         }
     };
@@ -63,19 +63,19 @@
 
 async fn measure(arguments: &Arguments) -> Result<BenchReport, StackError> {
     let machine = Machine::describe();
-    let length = Duration::from_millis(arguments.round_ms);
+    let round_duration = Duration::from_millis(arguments.round_ms);
     let stack = Stack::start(StackPlan::sized(1, 1)).await?;
-    let overhead = overhead::measure(&stack, arguments.rounds, length).await?;
+    let overhead = overhead::measure(&stack, arguments.rounds, round_duration).await?;
     stack.close().await?;
     let stack = Stack::start(StackPlan::service_only(SERVICE_UPSTREAMS)).await?;
-    // The first round warms connections and upstreams up.
-    throughput::measure(&stack, CALLERS[0], length).await;
-    let mut rounds = Vec::new();
-    for callers in CALLERS {
+    // Opens connections and warms the upstreams; its result is dropped.
+    throughput::measure(&stack, CALLER_COUNTS[0], round_duration).await;
+    let mut throughput_rounds = Vec::new();
+    for callers in CALLER_COUNTS {
         for _ in 0..arguments.rounds {
-            rounds.push(throughput::measure(&stack, callers, length).await);
+            throughput_rounds.push(throughput::measure(&stack, callers, round_duration).await);
         }
     }
     stack.close().await?;
-    Ok(BenchReport { machine, overhead, throughput: rounds })
+    Ok(BenchReport { machine, overhead, throughput: throughput_rounds })
 }
--- a/crates/fakes/src/commands/capacity.rs
+++ b/crates/fakes/src/commands/capacity.rs
@@ -1,4 +1,4 @@
-//! The `capacity` subcommand: measured slopes and their product at the planned size.
+//! The `capacity` subcommand: measures how costs scale and extrapolates them to the planned size.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -11,21 +11,21 @@
     json: Option<PathBuf>,
 }
 
-/// Parses the arguments.
+/// Returns the parser of the arguments.
 pub(crate) fn arguments() -> impl Parser<Arguments> {
     let json = long("json").help("File for the results as JSON").argument("FILE").optional();
     construct!(Arguments { json })
 }
 
-/// Measures the slopes and prints the tables.
+/// Measures the slopes, and prints them with the projection to the planned size.
 pub(crate) async fn run(arguments: Arguments) -> ExitCode {
     if cfg!(debug_assertions) {
-        eprintln!("this is a debug build; figures of a release build differ");
+        eprintln!("warning: measuring a debug build; results of a release build differ");
     }
     let report = match report::measure().await {
         Ok(report) => report,
         Err(error) => {
-            eprintln!("capacity failed: {error}");
+            eprintln!("capacity measurement failed: {error}");
             return ExitCode::FAILURE;
         }
     };
--- a/crates/fakes/src/commands/load.rs
+++ b/crates/fakes/src/commands/load.rs
@@ -1,4 +1,4 @@
-//! The `load` subcommand: an open-loop load on running entries.
+//! The `load` subcommand: sends an open-loop load to running entries.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode};
 
@@ -10,26 +10,26 @@
     tally::Deadlines,
 };
 
-/// Most calls of one load.
+/// Maximum mean number of calls in one load.
 const MAX_CALLS: f64 = 200_000.0;
-/// Longest load in seconds.
+/// Maximum duration of a load, in seconds.
 const MAX_SECONDS: f64 = 120.0;
-/// Deadlines of the demo document.
+/// Deadlines that the demo configuration sets.
 const DEADLINES: Deadlines = Deadlines { pipeline_ms: 8_000, service_ms: 4_000 };
 
 /// Arguments of the subcommand.
 #[derive(Clone, Debug)]
 pub(crate) struct Arguments {
-    entry: Vec<SocketAddr>,
+    entries: Vec<SocketAddr>,
     rate: f64,
     seconds: f64,
     seed: u64,
     json: Option<PathBuf>,
 }
 
-/// Parses the arguments.
+/// Returns the parser of the arguments.
 pub(crate) fn arguments() -> impl Parser<Arguments> {
-    let entry = long("entry")
+    let entries = long("entry")
         .help("Address of an entry on loopback; repeatable")
         .argument::<SocketAddr>("ADDRESS")
         .guard(|it| it.ip().is_loopback(), "the load goes to loopback addresses only")
@@ -52,7 +52,7 @@
         .fallback(1)
         .display_fallback();
     let json = long("json").help("File for the results as JSON").argument("FILE").optional();
-    construct!(Arguments { entry, rate, seconds, seed, json })
+    construct!(Arguments { entries, rate, seconds, seed, json })
         .guard(|it| it.rate * it.seconds <= MAX_CALLS, "a load has at most 200000 calls")
 }
 
@@ -61,7 +61,7 @@
     let phase =
         Phase { seconds: arguments.seconds, rate_per_second: arguments.rate, mix: Mix::demo() };
     let settings = LoadSettings {
-        entries: arguments.entry,
+        entries: arguments.entries,
         phases: vec![phase],
         seed: arguments.seed,
         run: format!("load-{:08x}", rand::random::<u32>()),
--- a/crates/fakes/src/commands/mod.rs
+++ b/crates/fakes/src/commands/mod.rs
@@ -1,4 +1,4 @@
-//! Subcommands, one file each.
+//! Command line: one module for each subcommand.
 
 mod bench;
 mod capacity;
@@ -16,19 +16,19 @@
 /// A subcommand with its arguments.
 #[derive(Clone, Debug)]
 pub(crate) enum Command {
-    /// Runs the platform stand-in.
+    /// Runs a stand-in of the platform's object API.
     Platform(platform::Arguments),
-    /// Runs an upstream stand-in.
+    /// Runs a stand-in of an upstream.
     Upstream(upstream::Arguments),
-    /// Runs the whole system once with stand-ins.
+    /// Starts the whole system with stand-ins, sends requests and stops it.
     Demo,
     /// Measures latency and throughput of the request path.
     Bench(bench::Arguments),
-    /// Measures slopes and multiplies them out to the planned size.
+    /// Measures how costs scale and extrapolates them to the planned size.
     Capacity(capacity::Arguments),
-    /// Runs the real processes under load and faults.
+    /// Runs the real processes under load and injected faults, and checks guarantees.
     Scenarios(scenarios::Arguments),
-    /// Puts load on running entries.
+    /// Sends an open-loop load to running entries.
     Load(load::Arguments),
 }
 
@@ -51,7 +51,7 @@
     let load = load::arguments()
         .map(Command::Load)
         .to_options()
-        .descr("Puts an open-loop load on running entries and compares every answer")
+        .descr("Sends an open-loop load to running entries and checks every response")
         .command("load");
     let bench = bench::arguments()
         .map(Command::Bench)
@@ -61,12 +61,12 @@
     let capacity = capacity::arguments()
         .map(Command::Capacity)
         .to_options()
-        .descr("Measures slopes over real processes and multiplies them out to the planned size")
+        .descr("Measures slopes over real processes and extrapolates them to the planned size")
         .command("capacity");
     let scenarios = scenarios::arguments()
         .map(Command::Scenarios)
         .to_options()
-        .descr("Runs the real processes under load and faults and checks the promises")
+        .descr("Runs the real processes under load and injected faults and checks the guarantees")
         .command("scenarios");
     construct!([platform, upstream, demo, load, bench, capacity, scenarios])
         .to_options()
@@ -87,7 +87,7 @@
     }
 }
 
-/// Writes results as JSON, if a file was asked for.
+/// Writes results as JSON if a file is given.
 fn write_json(file: Option<&Path>, results: &impl Serialize) -> ExitCode {
     let Some(file) = file else { return ExitCode::SUCCESS };
     let written = serde_json::to_vec_pretty(results)
@@ -96,7 +96,7 @@
     match written {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("cannot write {}: {error}", file.display());
+            eprintln!("cannot write results to {}: {error}", file.display());
             ExitCode::FAILURE
         }
     }
--- a/crates/fakes/src/commands/platform.rs
+++ b/crates/fakes/src/commands/platform.rs
@@ -1,4 +1,4 @@
-//! The `platform` subcommand.
+//! The `platform` subcommand: runs a stand-in of the platform's object API.
 
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode};
 
@@ -13,7 +13,7 @@
     seed_file: Option<PathBuf>,
 }
 
-/// Parses the arguments.
+/// Returns the parser of the arguments.
 pub(crate) fn arguments() -> impl Parser<Arguments> {
     let listen = long("listen")
         .help("Address to listen on; port 0 selects a free port")
@@ -27,13 +27,13 @@
     construct!(Arguments { listen, seed_file })
 }
 
-/// Serves until the process is stopped by a signal.
+/// Prints the listening address and serves until a signal stops the process.
 pub(crate) async fn run(arguments: Arguments) -> ExitCode {
     let Ok(stop) = shutdown::stop_signal() else { return ExitCode::FAILURE };
     let seed = match read_seed(arguments.seed_file) {
         Ok(seed) => seed,
         Err(error) => {
-            eprintln!("seed file: {error}");
+            eprintln!("cannot read seed file: {error}");
             return ExitCode::FAILURE;
         }
     };
--- a/crates/fakes/src/commands/scenarios.rs
+++ b/crates/fakes/src/commands/scenarios.rs
@@ -1,4 +1,4 @@
-//! The `scenarios` subcommand: the real processes under load and faults.
+//! The `scenarios` subcommand: runs the real processes under load and injected faults.
 
 use std::{path::PathBuf, process::ExitCode};
 
@@ -13,21 +13,21 @@
     },
 };
 
-/// Most repetitions of each scenario.
+/// Maximum number of repetitions of each scenario.
 const MAX_REPEAT: u64 = 20;
 
 /// Arguments of the subcommand.
 #[derive(Clone, Debug)]
 pub(crate) struct Arguments {
-    only: Vec<String>,
+    names: Vec<String>,
     seed: u64,
     repeat: u64,
     json: Option<PathBuf>,
 }
 
-/// Parses the arguments.
+/// Returns the parser of the arguments.
 pub(crate) fn arguments() -> impl Parser<Arguments> {
-    let only = long("only")
+    let names = long("only")
         .help("Name of a scenario to run; repeatable; all by default")
         .argument::<String>("NAME")
         .many();
@@ -43,14 +43,14 @@
         .fallback(1)
         .display_fallback();
     let json = long("json").help("File for the results as JSON").argument("FILE").optional();
-    construct!(Arguments { only, seed, repeat, json })
+    construct!(Arguments { names, seed, repeat, json })
 }
 
-/// Runs the scenarios; fails when a promise is violated.
+/// Runs the scenarios; fails when one violates a guarantee or is aborted.
 pub(crate) async fn run(arguments: Arguments) -> ExitCode {
-    let scenarios = selected(&arguments.only);
+    let scenarios = selected(&arguments.names);
     if scenarios.is_empty() {
-        eprintln!("no scenario has that name");
+        eprintln!("no scenario has any of these names");
         return ExitCode::FAILURE;
     }
     let mut report = ScenarioReport { machine: Machine::describe(), results: Vec::new() };
@@ -58,7 +58,7 @@
         for seed in arguments.seed..arguments.seed + arguments.repeat {
             let result = match run::run(scenario, seed).await {
                 Ok(result) => result,
-                Err(error) => failed(scenario, seed, &error.to_string()),
+                Err(error) => aborted_run(scenario, seed, &error.to_string()),
             };
             eprintln!("{} with seed {seed}: {} violations", result.name, result.violations.len());
             report.results.push(result);
@@ -72,18 +72,18 @@
     written
 }
 
-fn selected(only: &[String]) -> Vec<Scenario> {
+fn selected(names: &[String]) -> Vec<Scenario> {
     let mut scenarios = list::all();
-    scenarios.retain(|it| only.is_empty() || only.iter().any(|name| name == it.name));
+    scenarios.retain(|it| names.is_empty() || names.iter().any(|name| name == it.name));
     scenarios
 }
 
-/// Describes a run that broke off.
-fn failed(scenario: &Scenario, seed: u64, error: &str) -> ScenarioResult {
+/// Returns the result of a run that was aborted by an error, as a violation.
+fn aborted_run(scenario: &Scenario, seed: u64, error: &str) -> ScenarioResult {
     ScenarioResult {
         name: scenario.name.to_owned(),
         seed,
-        violations: vec![format!("the run broke off: {error}")],
+        violations: vec![format!("run aborted: {error}")],
         ..ScenarioResult::default()
     }
 }
--- a/crates/fakes/src/commands/upstream.rs
+++ b/crates/fakes/src/commands/upstream.rs
@@ -1,4 +1,4 @@
-//! The `upstream` subcommand.
+//! The `upstream` subcommand: runs a stand-in of an upstream.
 
 use std::{net::SocketAddr, process::ExitCode, sync::Arc};
 
@@ -17,7 +17,7 @@
     switches: Switches,
 }
 
-/// Parses the arguments.
+/// Returns the parser of the arguments.
 pub(crate) fn arguments() -> impl Parser<Arguments> {
     let listen = long("listen").help("Address to listen on").argument("ADDRESS");
     let switches = long("switches")
@@ -28,7 +28,7 @@
     construct!(Arguments { listen, switches })
 }
 
-/// Runs the stand-in until it is asked to stop.
+/// Prints the listening address and serves until a signal stops the process.
 pub(crate) async fn run(arguments: Arguments) -> ExitCode {
     let Ok(stop) = shutdown::stop_signal() else { return ExitCode::FAILURE };
     let Ok(listener) = TcpListener::bind(arguments.listen).await else { return ExitCode::FAILURE };
--- a/crates/fakes/src/lib.rs
+++ b/crates/fakes/src/lib.rs
@@ -1,4 +1,5 @@
-//! Small stand-ins for the systems around yuccatrail, for tests, demonstrations and measurements.
+//! Stand-ins for the platform and the upstreams, and the harnesses that use them for tests,
+//! demonstrations and measurements.
 
 pub mod bench;
 pub mod capacity;
--- a/crates/fakes/src/main.rs
+++ b/crates/fakes/src/main.rs
@@ -1,4 +1,4 @@
-//! Runs the stand-ins as processes of their own.
+//! Runs a stand-in or a harness as its own process.
 
 mod commands;
 
