--- a/crates/agent/src/admin.rs
+++ b/crates/agent/src/admin.rs
@@ -10,7 +10,7 @@
 
 /// State that the endpoint reports.
 #[derive(Clone)]
-pub(crate) struct Admin {
+pub(crate) struct AdminState {
     /// Registry of the agent's metrics.
     pub(crate) registry: Arc<Registry>,
     /// Cancelled once a graceful shutdown begins.
@@ -18,11 +18,11 @@
 }
 
 /// Serves the endpoint until `finished` is cancelled.
-pub(crate) async fn serve(listener: TcpListener, admin: Admin, finished: CancellationToken) {
+pub(crate) async fn serve(listener: TcpListener, admin: AdminState, finished: CancellationToken) {
     http::serve(listener, finished, move |request| handle(admin.clone(), request)).await;
 }
 
-async fn handle(admin: Admin, request: Request<Incoming>) -> Response<Body> {
+async fn handle(admin: AdminState, request: Request<Incoming>) -> Response<Body> {
     match request.uri().path() {
         "/healthz" => respond(StatusCode::OK, "text/plain", "ok\n"),
         "/readyz" if admin.shutdown.is_cancelled() => {
--- a/crates/agent/src/executor.rs
+++ b/crates/agent/src/executor.rs
@@ -23,7 +23,7 @@
 use yuccatrail_runtime::{clock::Clock, control::SharedControl};
 
 use crate::{
-    listed::Listed,
+    listed::ListedState,
     metrics::Metrics,
     upstream::{BootClient, CallError, ResponseHead, UpstreamClient},
 };
@@ -50,7 +50,7 @@
     /// Attempts that have ended and whose final state no entry has read yet.
     unread: FastSet<AttemptId>,
     /// State of the upstream in the platform's instance list.
-    listed: Listed,
+    listed: ListedState,
     /// Whether a probe on which queued attempts wait is in progress.
     is_probing: bool,
     /// Value of the last logged cold state.
@@ -110,7 +110,7 @@
             notifiers: FastMap::default(),
             abort_tokens: FastMap::default(),
             unread: FastSet::default(),
-            listed: Listed::default(),
+            listed: ListedState::default(),
             is_probing: false,
             logged_cold: true,
         };
--- a/crates/agent/src/listed.rs
+++ b/crates/agent/src/listed.rs
@@ -11,14 +11,14 @@
 
 /// State of the upstream in the instance list, merged from the reports of all entries.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
-pub(crate) struct Listed {
+pub(crate) struct ListedState {
     /// Number of state changes so far.
     version: u64,
     /// Time until which the upstream counts as leaving, in milliseconds; `None` if it is live.
     leaving_until_ms: Option<u64>,
 }
 
-impl Listed {
+impl ListedState {
     /// Applies the report of an entry; returns the new version and state if the state has changed.
     pub(crate) fn on_report(
         &mut self,
--- a/crates/agent/src/run.rs
+++ b/crates/agent/src/run.rs
@@ -14,7 +14,7 @@
 use yuccatrail_runtime::{clock::Clock, control::SharedControl, shutdown};
 
 use crate::{
-    admin::{self, Admin},
+    admin::{self, AdminState},
     executor::Executor,
     metrics::Metrics,
     server,
@@ -51,7 +51,7 @@
         "listening"
     );
     let finished = CancellationToken::new();
-    let admin = Admin { registry: Arc::new(registry), shutdown: signal.clone() };
+    let admin = AdminState { registry: Arc::new(registry), shutdown: signal.clone() };
     let mut tasks = tokio::task::JoinSet::new();
     tasks.spawn(server::serve(listener, executor.clone(), finished.clone()));
     tasks.spawn(admin::serve(admin_listener, admin, finished.clone()));
