--- a/crates/fakes/src/bench/direct.rs
+++ b/crates/fakes/src/bench/direct.rs
@@ -9,7 +9,7 @@
 
 use crate::{
     stack::{
-        caller::{Answer, Caller, CallerError},
+        caller::{Caller, CallerError, ReceivedResponse},
         expected,
     },
     upstream::engine,
@@ -55,7 +55,7 @@
 /// Returns what came instead of the right answer: the reason and outcome of a problem document, the
 /// fault of the exchange, or `wrong answer`.
 pub fn expect(
-    answer: Result<Answer, CallerError>,
+    answer: Result<ReceivedResponse, CallerError>,
     is_right: impl FnOnce(&Value) -> bool,
 ) -> Result<(), String> {
     let answer = answer.map_err(|it| it.detail)?;
@@ -116,7 +116,8 @@
     address: SocketAddr,
     body: Value,
 ) -> Result<String, CallerError> {
-    let response = caller.open(address, "POST", "/v1/completions", &[], body.to_string()).await?;
+    let response =
+        caller.send_for_head(address, "POST", "/v1/completions", &[], body.to_string()).await?;
     let chunks = BodyStream::new(response.into_body())
         .filter_map(|frame| async move { frame.map(|it| it.into_data().ok()).transpose() });
     let mut events = std::pin::pin!(chunks.eventsource());
--- a/crates/fakes/src/load/call.rs
+++ b/crates/fakes/src/load/call.rs
@@ -7,7 +7,7 @@
 use super::plan::{CallKind, PlannedCall};
 use crate::{
     stack::{
-        caller::{Answer, Caller, CallerError},
+        caller::{Caller, CallerError, ReceivedResponse},
         expected,
     },
     upstream::engine,
@@ -164,7 +164,10 @@
     judge(answer, |body| *body == engine::serve_call("POST", "/notices", &sent))
 }
 
-fn judge(answer: Result<Answer, CallerError>, is_right: impl FnOnce(&Value) -> bool) -> Judged {
+fn judge(
+    answer: Result<ReceivedResponse, CallerError>,
+    is_right: impl FnOnce(&Value) -> bool,
+) -> Judged {
     let answer = match answer {
         Ok(answer) => answer,
         Err(error) => return (Verdict::Broken(error.detail), None),
--- a/crates/fakes/src/stack/caller.rs
+++ b/crates/fakes/src/stack/caller.rs
@@ -24,7 +24,7 @@
 
 /// Whole answer to a request.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
+pub struct ReceivedResponse {
     /// HTTP status.
     pub status: u16,
     /// Headers.
@@ -35,7 +35,7 @@
 
 /// Streamed answer to a pipeline request.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct StreamedAnswer {
+pub struct StreamedResponse {
     /// Texts of the `text` events, joined.
     pub text: String,
     /// Data of the `done` event.
@@ -70,7 +70,7 @@
         entry: SocketAddr,
         name: &str,
         input: &str,
-    ) -> Result<Answer, CallerError> {
+    ) -> Result<ReceivedResponse, CallerError> {
         let body = json!({ "input": input }).to_string();
         self.send(entry, "POST", &format!("/v1/pipelines/{name}"), &[], body).await
     }
@@ -85,7 +85,7 @@
         entry: SocketAddr,
         name: &str,
         input: &str,
-    ) -> Result<StreamedAnswer, CallerError> {
+    ) -> Result<StreamedResponse, CallerError> {
         self.pipeline_stream_observed(entry, name, input, |_| {}).await
     }
 
@@ -100,14 +100,18 @@
         name: &str,
         input: &str,
         on_text: impl FnMut(&str),
-    ) -> Result<StreamedAnswer, CallerError> {
+    ) -> Result<StreamedResponse, CallerError> {
         let body = json!({ "input": input }).to_string();
         let path = format!("/v1/pipelines/{name}");
-        let response =
-            self.open(entry, "POST", &path, &[("accept", "text/event-stream")], body).await?;
+        let response = self
+            .send_for_head(entry, "POST", &path, &[("accept", "text/event-stream")], body)
+            .await?;
         if !response.status().is_success() {
-            let answer = read_answer(response).await?;
-            return Ok(StreamedAnswer { problem: Some(answer.body), ..StreamedAnswer::default() });
+            let answer = read_response(response).await?;
+            return Ok(StreamedResponse {
+                problem: Some(answer.body),
+                ..StreamedResponse::default()
+            });
         }
         read_stream(response, on_text).await
     }
@@ -122,7 +126,7 @@
         entry: SocketAddr,
         key: &str,
         headers: &[(&str, &str)],
-    ) -> Result<Answer, CallerError> {
+    ) -> Result<ReceivedResponse, CallerError> {
         let mut headers = headers.to_vec();
         headers.push(("idempotency-key", key));
         let path = "/v1/services/work-orders/notices";
@@ -139,7 +143,7 @@
         entry: SocketAddr,
         body: &str,
         headers: &[(&str, &str)],
-    ) -> Result<Answer, CallerError> {
+    ) -> Result<ReceivedResponse, CallerError> {
         let path = "/v1/services/work-orders/search";
         self.send(entry, "POST", path, headers, body.to_owned()).await
     }
@@ -156,13 +160,13 @@
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-    ) -> Result<Answer, CallerError> {
-        let response = self.open(address, method, path, headers, body).await?;
-        read_answer(response).await
+    ) -> Result<ReceivedResponse, CallerError> {
+        let response = self.send_for_head(address, method, path, headers, body).await?;
+        read_response(response).await
     }
 
     /// Sends any request and returns the answer with its body unread.
-    pub(crate) async fn open(
+    pub(crate) async fn send_for_head(
         &self,
         address: SocketAddr,
         method: &str,
@@ -183,22 +187,22 @@
     }
 }
 
-async fn read_answer(response: Response<Incoming>) -> Result<Answer, CallerError> {
+async fn read_response(response: Response<Incoming>) -> Result<ReceivedResponse, CallerError> {
     let status = response.status().as_u16();
     let headers = response.headers().clone();
     let bytes = response.into_body().collect().await.map_err(broken)?.to_bytes();
     let body = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
-    Ok(Answer { status, headers, body })
+    Ok(ReceivedResponse { status, headers, body })
 }
 
 async fn read_stream(
     response: Response<Incoming>,
     mut on_text: impl FnMut(&str),
-) -> Result<StreamedAnswer, CallerError> {
+) -> Result<StreamedResponse, CallerError> {
     let chunks = BodyStream::new(response.into_body())
         .filter_map(|frame| async move { frame.map(|it| it.into_data().ok()).transpose() });
     let mut events = std::pin::pin!(chunks.eventsource());
-    let mut answer = StreamedAnswer::default();
+    let mut answer = StreamedResponse::default();
     while let Some(event) = events.next().await {
         let event = event.map_err(broken)?;
         let data: Value = serde_json::from_str(&event.data).map_err(broken)?;
--- a/crates/fakes/src/stack/faults.rs
+++ b/crates/fakes/src/stack/faults.rs
@@ -7,7 +7,7 @@
 use yuccatrail_platform::Kind;
 
 use super::{
-    caller::{Answer, CallerError},
+    caller::{CallerError, ReceivedResponse},
     link::Link,
     process::{Process, ProcessError, Signal},
     run::{Stack, StackError, start_agent, start_entry_at, start_upstream},
@@ -70,7 +70,7 @@
 
 impl Verdict {
     /// Reads the verdict from the answer to a call.
-    pub fn of(answer: &Result<Answer, CallerError>) -> Self {
+    pub fn of(answer: &Result<ReceivedResponse, CallerError>) -> Self {
         match answer {
             Ok(answer) if answer.status < 400 => Self::Done,
             Ok(answer) => Self::of_problem(&answer.body),
--- a/crates/fakes/src/stack/traffic.rs
+++ b/crates/fakes/src/stack/traffic.rs
@@ -7,7 +7,7 @@
 use tokio_util::sync::CancellationToken;
 
 use super::{
-    caller::{Answer, Caller, StreamedAnswer},
+    caller::{Caller, ReceivedResponse, StreamedResponse},
     run::{Stack, StackError},
 };
 use crate::upstream::engine;
@@ -127,7 +127,7 @@
 }
 
 /// Judges the answer to a request whose whole answer is `expected`.
-pub fn judge(answer: &Answer, expected: &Value) -> Verdict {
+pub fn judge(answer: &ReceivedResponse, expected: &Value) -> Verdict {
     if answer.status == 200 && answer.body == *expected {
         return Verdict::Whole;
     }
@@ -140,7 +140,7 @@
 }
 
 /// Tells whether a streamed draft for an input is whole.
-pub fn is_whole_draft(answer: &StreamedAnswer, input: &str) -> bool {
+pub fn is_whole_draft(answer: &StreamedResponse, input: &str) -> bool {
     let expected = engine::generate(input, DRAFT_TOKENS).concat();
     let done = answer.done.as_ref();
     answer.text == expected && done.is_some_and(|it| it["output"]["text"] == expected)
--- a/crates/fakes/tests/at_most_once.rs
+++ b/crates/fakes/tests/at_most_once.rs
@@ -6,7 +6,7 @@
 use yuccatrail_fakes::{
     platform::{Outage, Switches as PlatformSwitches},
     stack::{
-        caller::{Answer, CallerError},
+        caller::{CallerError, ReceivedResponse},
         faults::{Verdict, wait_until},
         plan::StackPlan,
         process::Signal,
@@ -43,7 +43,7 @@
     entry: usize,
     key: &str,
     headers: &'static [(&str, &str)],
-) -> tokio::task::JoinHandle<Result<Answer, CallerError>> {
+) -> tokio::task::JoinHandle<Result<ReceivedResponse, CallerError>> {
     let (caller, address, key) = (stack.caller.clone(), stack.entry(entry), key.to_owned());
     tokio::spawn(async move { caller.notice(address, &key, headers).await })
 }
@@ -61,7 +61,7 @@
     stack: &Stack,
     key: &str,
     headers: &'static [(&str, &str)],
-) -> tokio::task::JoinHandle<Result<Answer, CallerError>> {
+) -> tokio::task::JoinHandle<Result<ReceivedResponse, CallerError>> {
     let slow = PlatformSwitches {
         lost_answers: 1,
         delay_ms: SLOW_PLATFORM_MS,
--- a/crates/fakes/tests/callers.rs
+++ b/crates/fakes/tests/callers.rs
@@ -12,7 +12,7 @@
 };
 use yuccatrail_fakes::{
     stack::{
-        caller::{Answer, Caller},
+        caller::{Caller, ReceivedResponse},
         plan::StackPlan,
         run::Stack,
         traffic::{Traffic, Verdict, is_whole_draft, read_order},
@@ -82,7 +82,7 @@
 }
 
 /// Checks a problem document (RFC 9457).
-fn check_problem(answer: &Answer, status: u16, reason: &str) {
+fn check_problem(answer: &ReceivedResponse, status: u16, reason: &str) {
     assert_eq!(answer.status, status, "{}", answer.body);
     assert_eq!(answer.headers["content-type"], "application/problem+json");
     assert_eq!(answer.body["status"], status);
--- a/crates/fakes/tests/early_refusal.rs
+++ b/crates/fakes/tests/early_refusal.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use futures::future::{Either, select};
-use yuccatrail_fakes::stack::{caller::Answer, faults::Verdict, plan::StackPlan, run::Stack};
+use yuccatrail_fakes::stack::{
+    caller::ReceivedResponse, faults::Verdict, plan::StackPlan, run::Stack,
+};
 
 /// Declared estimate of a call, which exceeds the deadline that the callers ask for.
 const ESTIMATE: &str = "estimate_ms = 15000";
@@ -17,7 +19,9 @@
 const LONG_CALL_MS: u64 = 8_000;
 
 /// Returns the answer if it comes before half of the deadline.
-async fn early<E: std::fmt::Debug>(call: impl Future<Output = Result<Answer, E>>) -> Answer {
+async fn early<E: std::fmt::Debug>(
+    call: impl Future<Output = Result<ReceivedResponse, E>>,
+) -> ReceivedResponse {
     let limit = tokio::time::sleep(HALF_DEADLINE);
     match select(Box::pin(call), Box::pin(limit)).await {
         Either::Left((answer, _)) => answer.expect("an answer"),
@@ -25,7 +29,7 @@
     }
 }
 
-async fn check(stack: &Stack, answer: &Answer) {
+async fn check(stack: &Stack, answer: &ReceivedResponse) {
     assert_eq!(Verdict::of_problem(&answer.body), Verdict::NotRun, "{}", answer.body);
     assert_eq!(answer.body["reason"], "deadline_unreachable", "{}", answer.body);
     assert!(answer.headers.contains_key("retry-after"));
--- a/crates/fakes/tests/not_run.rs
+++ b/crates/fakes/tests/not_run.rs
@@ -13,7 +13,7 @@
 use serde_json::Value;
 use yuccatrail_fakes::{
     stack::{
-        caller::{Answer, Caller, CallerError},
+        caller::{Caller, CallerError, ReceivedResponse},
         expected,
         faults::Verdict,
         plan::StackPlan,
@@ -131,12 +131,12 @@
     }
 }
 
-fn check_done(answer: &Result<Answer, CallerError>, is_right: impl Fn(&Value) -> bool) {
+fn check_done(answer: &Result<ReceivedResponse, CallerError>, is_right: impl Fn(&Value) -> bool) {
     let Ok(answer) = answer else { return };
     assert!(answer.status >= 400 || is_right(&answer.body), "{}", answer.body);
 }
 
-fn told(key: Option<&str>, answer: &Result<Answer, CallerError>) -> Told {
+fn told(key: Option<&str>, answer: &Result<ReceivedResponse, CallerError>) -> Told {
     let body = answer.as_ref().map(|it| it.body.clone()).unwrap_or_default();
     Told {
         request: field(&body, "request_id"),
--- a/crates/fakes/tests/platform_down.rs
+++ b/crates/fakes/tests/platform_down.rs
@@ -6,7 +6,7 @@
 use yuccatrail_fakes::{
     platform::Outage,
     stack::{
-        caller::{Answer, Caller},
+        caller::{Caller, ReceivedResponse},
         plan::StackPlan,
         run::Stack,
         traffic::{Verdict, is_whole_draft, read_order},
@@ -23,7 +23,7 @@
 /// Keeps one stack at a time on the machine.
 static ONE_STACK: Mutex<()> = Mutex::const_new(());
 
-async fn book(stack: &Stack, key: &str) -> Answer {
+async fn book(stack: &Stack, key: &str) -> ReceivedResponse {
     let caller = Caller::new("lone-star");
     let headers = [("idempotency-key", key)];
     let path = "/v1/services/work-orders/notices";
--- a/crates/fakes/tests/whole_answers.rs
+++ b/crates/fakes/tests/whole_answers.rs
@@ -9,7 +9,7 @@
 use tokio::task::JoinHandle;
 use yuccatrail_fakes::{
     stack::{
-        caller::{Answer, CallerError, StreamedAnswer},
+        caller::{CallerError, ReceivedResponse, StreamedResponse},
         expected,
         faults::wait_until,
         plan::StackPlan,
@@ -34,8 +34,8 @@
 
 /// Requests on their way.
 struct Traffic {
-    plain: Vec<(String, JoinHandle<Result<Answer, CallerError>>)>,
-    streamed: Vec<(String, JoinHandle<Result<StreamedAnswer, CallerError>>)>,
+    plain: Vec<(String, JoinHandle<Result<ReceivedResponse, CallerError>>)>,
+    streamed: Vec<(String, JoinHandle<Result<StreamedResponse, CallerError>>)>,
 }
 
 /// What became of the streams.
