--- a/crates/fakes/src/stack/faults.rs
+++ b/crates/fakes/src/stack/faults.rs
@@ -57,9 +57,9 @@
 
 /// What a caller learns about a request.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum ReportedOutcome {
     /// The answer arrived.
-    Done,
+    Completed,
     /// The request was refused as not run.
     NotRun,
     /// The request ran and failed.
@@ -68,11 +68,11 @@
     Unknown,
 }
 
-impl Verdict {
+impl ReportedOutcome {
     /// Reads the verdict from the answer to a call.
     pub fn of(answer: &Result<ReceivedResponse, CallerError>) -> Self {
         match answer {
-            Ok(answer) if answer.status < 400 => Self::Done,
+            Ok(answer) if answer.status < 400 => Self::Completed,
             Ok(answer) => Self::of_problem(&answer.body),
             Err(_) => Self::Unknown,
         }
--- a/crates/fakes/src/stack/traffic.rs
+++ b/crates/fakes/src/stack/traffic.rs
@@ -17,34 +17,34 @@
 
 /// Result of one request.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Verdict {
+pub enum ResponseCheck {
     /// The whole answer to this very request.
-    Whole,
+    Complete,
     /// A refusal that says that the request was not run, with the request identifier.
     NotRun(String),
     /// Anything else.
-    Broken(String),
+    Unexpected(String),
 }
 
 /// Results of all requests.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct Tally {
+pub struct CheckedResponses {
     /// Requests that got their whole answer.
-    pub whole: usize,
+    pub complete: usize,
     /// Identifiers of the requests that were refused as not run.
     pub not_run: Vec<String>,
     /// What the others got.
-    pub broken: Vec<String>,
+    pub unexpected: Vec<String>,
 }
 
 /// Steady requests to a plain service, alternating between entries.
 #[derive(Debug)]
-pub struct Traffic {
+pub struct SteadyTraffic {
     stop: CancellationToken,
-    task: JoinHandle<Tally>,
+    task: JoinHandle<CheckedResponses>,
 }
 
-impl Traffic {
+impl SteadyTraffic {
     /// Starts to send one request every `interval`.
     pub fn start(caller: Caller, entries: Vec<SocketAddr>, interval: Duration) -> Self {
         let stop = CancellationToken::new();
@@ -57,13 +57,13 @@
     /// # Panics
     ///
     /// Panics when the sending task has failed.
-    pub async fn close(self) -> Tally {
+    pub async fn close(self) -> CheckedResponses {
         self.stop.cancel();
         self.task.await.expect("the sending task ends")
     }
 }
 
-impl Tally {
+impl CheckedResponses {
     /// Checks that no request was lost and that none that was refused as not run has run.
     ///
     /// # Errors
@@ -74,8 +74,8 @@
     ///
     /// Panics when the check fails.
     pub async fn check(&self, stack: &Stack) -> Result<(), StackError> {
-        assert_eq!(self.broken, Vec::<String>::new());
-        assert!(self.whole > 0);
+        assert_eq!(self.unexpected, Vec::<String>::new());
+        assert!(self.complete > 0);
         for pair in &stack.upstreams {
             let record = stack.record(pair).await?;
             for id in &self.not_run {
@@ -85,11 +85,11 @@
         Ok(())
     }
 
-    fn add(&mut self, verdict: Verdict) {
+    fn add(&mut self, verdict: ResponseCheck) {
         match verdict {
-            Verdict::Whole => self.whole += 1,
-            Verdict::NotRun(id) => self.not_run.push(id),
-            Verdict::Broken(what) => self.broken.push(what),
+            ResponseCheck::Complete => self.complete += 1,
+            ResponseCheck::NotRun(id) => self.not_run.push(id),
+            ResponseCheck::Unexpected(what) => self.unexpected.push(what),
         }
     }
 }
@@ -99,7 +99,7 @@
     entries: Vec<SocketAddr>,
     interval: Duration,
     stop: CancellationToken,
-) -> Tally {
+) -> CheckedResponses {
     let mut requests = JoinSet::new();
     let mut number = 0;
     while !stop.is_cancelled() {
@@ -108,7 +108,7 @@
         number += 1;
         tokio::time::sleep(interval).await;
     }
-    let mut tally = Tally::default();
+    let mut tally = CheckedResponses::default();
     for verdict in requests.join_all().await {
         tally.add(verdict);
     }
@@ -116,31 +116,31 @@
 }
 
 /// Reads one work order and judges the answer.
-pub async fn read_order(caller: &Caller, entry: SocketAddr, number: usize) -> Verdict {
+pub async fn read_order(caller: &Caller, entry: SocketAddr, number: usize) -> ResponseCheck {
     let path = format!("/orders/{number}");
     let answer =
         caller.send(entry, "GET", &format!("/v1/services/work-orders{path}"), &[], "").await;
     match answer {
-        Ok(answer) => judge(&answer, &engine::serve_call("GET", &path, "")),
-        Err(error) => Verdict::Broken(error.to_string()),
+        Ok(answer) => check_response(&answer, &engine::serve_call("GET", &path, "")),
+        Err(error) => ResponseCheck::Unexpected(error.to_string()),
     }
 }
 
 /// Judges the answer to a request whose whole answer is `expected`.
-pub fn judge(answer: &ReceivedResponse, expected: &Value) -> Verdict {
+pub fn check_response(answer: &ReceivedResponse, expected: &Value) -> ResponseCheck {
     if answer.status == 200 && answer.body == *expected {
-        return Verdict::Whole;
+        return ResponseCheck::Complete;
     }
     let can_retry = answer.headers.contains_key("retry-after");
     if answer.body["outcome"] == "not_run" && can_retry {
         let id = answer.body["request_id"].as_str().unwrap_or_default();
-        return Verdict::NotRun(id.to_owned());
+        return ResponseCheck::NotRun(id.to_owned());
     }
-    Verdict::Broken(format!("{} {}", answer.status, answer.body))
+    ResponseCheck::Unexpected(format!("{} {}", answer.status, answer.body))
 }
 
 /// Tells whether a streamed draft for an input is whole.
-pub fn is_whole_draft(answer: &StreamedResponse, input: &str) -> bool {
+pub fn is_complete_draft(answer: &StreamedResponse, input: &str) -> bool {
     let expected = engine::generate(input, DRAFT_TOKENS).concat();
     let done = answer.done.as_ref();
     answer.text == expected && done.is_some_and(|it| it["output"]["text"] == expected)
--- a/crates/fakes/tests/at_most_once.rs
+++ b/crates/fakes/tests/at_most_once.rs
@@ -7,7 +7,7 @@
     platform::{Outage, Switches as PlatformSwitches},
     stack::{
         caller::{CallerError, ReceivedResponse},
-        faults::{Verdict, wait_until},
+        faults::{ReportedOutcome, wait_until},
         plan::StackPlan,
         process::Signal,
         run::Stack,
@@ -48,8 +48,8 @@
     tokio::spawn(async move { caller.notice(address, &key, headers).await })
 }
 
-async fn resend(stack: &Stack, entry: usize, key: &str) -> Verdict {
-    Verdict::of(&stack.caller.notice(stack.entry(entry), key, &[]).await)
+async fn resend(stack: &Stack, entry: usize, key: &str) -> ReportedOutcome {
+    ReportedOutcome::of(&stack.caller.notice(stack.entry(entry), key, &[]).await)
 }
 
 async fn runs(stack: &Stack, key: &str) -> u32 {
@@ -90,8 +90,12 @@
     }
     for copy in join_all(copies).await {
         let answer = copy.expect("the caller ends").expect("an answer");
-        let verdict = Verdict::of(&Ok(answer.clone()));
-        assert!(matches!(verdict, Verdict::Done | Verdict::Unknown), "{}", answer.body);
+        let verdict = ReportedOutcome::of(&Ok(answer.clone()));
+        assert!(
+            matches!(verdict, ReportedOutcome::Completed | ReportedOutcome::Unknown),
+            "{}",
+            answer.body
+        );
     }
     for key in 0..RACED_KEYS {
         let key = format!("raced-{key}");
@@ -116,9 +120,9 @@
         stack.end_entry(0).await.expect("the entry ends");
         assert!(call.await.expect("the caller ends").is_err());
         heal_platform(&stack).await;
-        assert_eq!(resend(&stack, 1, &key).await, Verdict::Unknown);
+        assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
         stack.replace_entry(0, "north").await.expect("the entry starts");
-        assert_eq!(resend(&stack, 0, &key).await, Verdict::Unknown);
+        assert_eq!(resend(&stack, 0, &key).await, ReportedOutcome::Unknown);
         assert!(runs(&stack, &key).await <= 1, "{key}");
     }
 }
@@ -132,9 +136,9 @@
         stack.wait_running(&key).await.expect("a run");
         stack.end_entry(0).await.expect("the entry ends");
         assert!(call.await.expect("the caller ends").is_err());
-        assert_eq!(resend(&stack, 1, &key).await, Verdict::Unknown);
+        assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
         stack.replace_entry(0, "north").await.expect("the entry starts");
-        assert_eq!(resend(&stack, 0, &key).await, Verdict::Unknown);
+        assert_eq!(resend(&stack, 0, &key).await, ReportedOutcome::Unknown);
         assert_eq!(runs(&stack, &key).await, 1, "{key}");
     }
 }
@@ -168,7 +172,7 @@
         let calls = [0, 1].map(|entry| send(&stack, entry, &key, SHORT_DEADLINE));
         for answer in join_all(calls).await {
             let answer = answer.expect("the caller ends");
-            assert_ne!(Verdict::of(&answer), Verdict::Done, "{answer:?}");
+            assert_ne!(ReportedOutcome::of(&answer), ReportedOutcome::Completed, "{answer:?}");
         }
         assert_eq!(runs(&stack, &key).await, 0, "{key}");
         heal_platform(&stack).await;
@@ -187,13 +191,13 @@
         stack.entries[0].signal(Signal::Pause).await.expect("the entry is paused");
         heal_platform(&stack).await;
         let frozen = runs(&stack, &key).await;
-        assert_eq!(resend(&stack, 1, &key).await, Verdict::Unknown);
+        assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
         tokio::time::sleep(Duration::from_millis(SHORT_DEADLINE_MS)).await;
         stack.entries[0].signal(Signal::Resume).await.expect("the entry resumes");
         let answer = call.await.expect("the caller ends");
-        let verdict = Verdict::of(&answer);
+        let verdict = ReportedOutcome::of(&answer);
         // A call that was dispatched before the pause may have its answer.
-        assert!(frozen == 1 || verdict != Verdict::Done, "{answer:?}");
+        assert!(frozen == 1 || verdict != ReportedOutcome::Completed, "{answer:?}");
         assert_eq!(runs(&stack, &key).await, frozen, "{key}");
         // The claimant releases a claim that it never dispatched, so a resend may run now.
         resend(&stack, 0, &key).await;
@@ -211,7 +215,7 @@
             pair.agent.signal(Signal::Pause).await.expect("the agent is paused");
         }
         let answer = send(&stack, 0, &key, SHORT_DEADLINE).await.expect("the caller ends");
-        assert_eq!(Verdict::of(&answer), Verdict::Unknown, "{answer:?}");
+        assert_eq!(ReportedOutcome::of(&answer), ReportedOutcome::Unknown, "{answer:?}");
         for pair in &stack.upstreams {
             pair.agent.signal(Signal::Resume).await.expect("the agent resumes");
         }
@@ -240,9 +244,9 @@
         let number = stack.wait_running(&key).await.expect("a run");
         stack.replace_agent(number).await.expect("the agent starts");
         let answer = call.await.expect("the caller ends");
-        assert_eq!(Verdict::of(&answer), Verdict::Unknown, "{answer:?}");
-        assert_eq!(resend(&stack, 1, &key).await, Verdict::Unknown);
-        assert_eq!(resend(&stack, 0, &key).await, Verdict::Unknown);
+        assert_eq!(ReportedOutcome::of(&answer), ReportedOutcome::Unknown, "{answer:?}");
+        assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
+        assert_eq!(resend(&stack, 0, &key).await, ReportedOutcome::Unknown);
         assert_eq!(runs(&stack, &key).await, 1, "{key}");
     }
 }
@@ -257,9 +261,9 @@
         let number = stack.wait_running(&key).await.expect("a run");
         stack.replace_upstream(number).await.expect("the upstream starts");
         let answer = call.await.expect("the caller ends");
-        assert_eq!(Verdict::of(&answer), Verdict::Unknown, "{answer:?}");
-        assert_eq!(resend(&stack, 1, &key).await, Verdict::Unknown);
-        assert_eq!(resend(&stack, 0, &key).await, Verdict::Unknown);
+        assert_eq!(ReportedOutcome::of(&answer), ReportedOutcome::Unknown, "{answer:?}");
+        assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
+        assert_eq!(resend(&stack, 0, &key).await, ReportedOutcome::Unknown);
         assert_eq!(runs(&stack, &key).await, 1, "{key}");
     }
 }
--- a/crates/fakes/tests/callers.rs
+++ b/crates/fakes/tests/callers.rs
@@ -15,7 +15,7 @@
         caller::{Caller, ReceivedResponse},
         plan::StackPlan,
         run::Stack,
-        traffic::{Traffic, Verdict, is_whole_draft, read_order},
+        traffic::{ResponseCheck, SteadyTraffic, is_complete_draft, read_order},
     },
     upstream::state::Switches,
 };
@@ -102,7 +102,7 @@
 async fn faulty_requests_are_refused_and_cost_nobody_else_anything() {
     let stack = start().await;
     let entry = stack.entry(0);
-    let traffic = Traffic::start(Caller::new("hill-country"), vec![entry], INTERVAL);
+    let traffic = SteadyTraffic::start(Caller::new("hill-country"), vec![entry], INTERVAL);
     for fault in faults() {
         let caller = Caller::new(fault.customer);
         let body = fault.body.clone();
@@ -157,7 +157,7 @@
     }
     stack.switch(&stack.upstreams[0], &Switches::default()).await.expect("fast");
     let draft = caller.pipeline_stream(entry, "draft", "another").await;
-    assert!(is_whole_draft(&draft.expect("a stream"), "another"));
+    assert!(is_complete_draft(&draft.expect("a stream"), "another"));
     stack.close().await.expect("a clean stop");
 }
 
@@ -165,7 +165,7 @@
 async fn both_versions_of_http_are_served() {
     let stack = start().await;
     let entry = stack.entry(0);
-    assert_eq!(read_order(&stack.caller, entry, 1).await, Verdict::Whole);
+    assert_eq!(read_order(&stack.caller, entry, 1).await, ResponseCheck::Complete);
     let stream = TcpStream::connect(entry).await.expect("a connection");
     let handshake =
         hyper::client::conn::http2::handshake(TokioExecutor::new(), TokioIo::new(stream));
--- a/crates/fakes/tests/cold_start.rs
+++ b/crates/fakes/tests/cold_start.rs
@@ -4,7 +4,7 @@
 use tokio::task::JoinHandle;
 use yuccatrail_fakes::{
     stack::{
-        faults::{Verdict, wait_until},
+        faults::{ReportedOutcome, wait_until},
         plan::StackPlan,
         run::Stack,
     },
@@ -33,14 +33,14 @@
 }
 
 /// Sends calls through both entries at once.
-fn send(stack: &Stack, name: &str) -> Vec<JoinHandle<Verdict>> {
+fn send(stack: &Stack, name: &str) -> Vec<JoinHandle<ReportedOutcome>> {
     let mut calls = Vec::new();
     for number in 0..BURST {
         let (caller, entry) = (stack.caller.clone(), stack.entry(number % 2));
         let body = format!("{name} {number}");
-        calls.push(tokio::spawn(
-            async move { Verdict::of(&caller.search(entry, &body, &[]).await) },
-        ));
+        calls.push(tokio::spawn(async move {
+            ReportedOutcome::of(&caller.search(entry, &body, &[]).await)
+        }));
     }
     calls
 }
@@ -48,7 +48,7 @@
 /// Sends calls through both entries at once; returns how many were answered.
 async fn burst(stack: &Stack, name: &str) -> usize {
     let verdicts = join_all(send(stack, name)).await;
-    verdicts.iter().filter(|it| matches!(it, Ok(Verdict::Done))).count()
+    verdicts.iter().filter(|it| matches!(it, Ok(ReportedOutcome::Completed))).count()
 }
 
 async fn record(stack: &Stack) -> Record {
--- a/crates/fakes/tests/configuration.rs
+++ b/crates/fakes/tests/configuration.rs
@@ -15,7 +15,7 @@
         plan::StackPlan,
         process::{Process, Signal},
         run::{Stack, promote, start_agent},
-        traffic::{Verdict, read_order},
+        traffic::{ResponseCheck, read_order},
     },
 };
 use yuccatrail_platform::{Client, ClientSettings};
@@ -172,7 +172,7 @@
     for number in 0..20 {
         let entry = [entries[0], entries[1], restarted][number % 3];
         let verdict = read_order(&stack.caller, entry, number).await;
-        assert_eq!(verdict, Verdict::Whole);
+        assert_eq!(verdict, ResponseCheck::Complete);
     }
     assert_eq!(stack.calls_in("south").await.unwrap(), before);
     stack.close().await.expect("a clean stop");
@@ -183,7 +183,7 @@
     let entry = start_entry_at("entry", "north", NOWHERE, "127.0.0.1:0").await.expect("an entry");
     let caller = Caller::new("lone-star");
     let verdict = read_order(&caller, entry.address, 0).await;
-    assert!(matches!(verdict, Verdict::NotRun(_)), "{verdict:?}");
+    assert!(matches!(verdict, ResponseCheck::NotRun(_)), "{verdict:?}");
     let ready = caller.send(entry.address, "GET", "/readyz", &[], "").await.expect("an answer");
     assert_eq!(ready.status, 503);
     stop(entry).await;
--- a/crates/fakes/tests/data_centre_out.rs
+++ b/crates/fakes/tests/data_centre_out.rs
@@ -11,7 +11,7 @@
         plan::StackPlan,
         process::Signal,
         run::Stack,
-        traffic::{Traffic, is_whole_draft, read_order},
+        traffic::{SteadyTraffic, is_complete_draft, read_order},
     },
 };
 
@@ -59,7 +59,7 @@
     let mut operated = Box::pin(async {
         let north = stack.position("engines-north").expect("an engine in north");
         stack.wait_calls_running(north, 1).await.expect("the stream runs in north");
-        let traffic = Traffic::start(caller.clone(), entries.clone(), INTERVAL);
+        let traffic = SteadyTraffic::start(caller.clone(), entries.clone(), INTERVAL);
         stack.wait_calls_in("north", 20).await.expect("work in north");
         if faults.cut_entry {
             relay.close();
@@ -77,7 +77,7 @@
     });
     let (streamed, traffic) = tokio::join!(streaming, &mut operated);
     drop(operated);
-    assert!(is_whole_draft(&streamed.expect("a stream"), "long dispute"));
+    assert!(is_complete_draft(&streamed.expect("a stream"), "long dispute"));
     stack.set_outage(None).await.expect("the platform is back");
     let north = stack.calls_in("north").await.unwrap();
     stack.accepted(&["data-centre", "in", "north"]).await.expect("accepted");
--- a/crates/fakes/tests/early_refusal.rs
+++ b/crates/fakes/tests/early_refusal.rs
@@ -4,7 +4,7 @@
 
 use futures::future::{Either, select};
 use yuccatrail_fakes::stack::{
-    caller::ReceivedResponse, faults::Verdict, plan::StackPlan, run::Stack,
+    caller::ReceivedResponse, faults::ReportedOutcome, plan::StackPlan, run::Stack,
 };
 
 /// Declared estimate of a call, which exceeds the deadline that the callers ask for.
@@ -30,7 +30,12 @@
 }
 
 async fn check(stack: &Stack, answer: &ReceivedResponse) {
-    assert_eq!(Verdict::of_problem(&answer.body), Verdict::NotRun, "{}", answer.body);
+    assert_eq!(
+        ReportedOutcome::of_problem(&answer.body),
+        ReportedOutcome::NotRun,
+        "{}",
+        answer.body
+    );
     assert_eq!(answer.body["reason"], "deadline_unreachable", "{}", answer.body);
     assert!(answer.headers.contains_key("retry-after"));
     let request = answer.body["request_id"].as_str().expect("a request id");
--- a/crates/fakes/tests/leaving.rs
+++ b/crates/fakes/tests/leaving.rs
@@ -9,7 +9,7 @@
     caller::Caller,
     plan::StackPlan,
     run::Stack,
-    traffic::{Traffic, Verdict, is_whole_draft, read_order},
+    traffic::{ResponseCheck, SteadyTraffic, is_complete_draft, read_order},
 };
 
 /// Time after acceptance from which on there is no new work.
@@ -55,7 +55,7 @@
     let operated = async {
         let engine = stack.position("engines-north").expect("an engine");
         stack.wait_calls_running(engine, 1).await.expect("the stream runs in north");
-        let traffic = Traffic::start(caller.clone(), entries.clone(), INTERVAL);
+        let traffic = SteadyTraffic::start(caller.clone(), entries.clone(), INTERVAL);
         stack.wait_calls_in("north", 20).await.expect("work in north");
         for name in ["engines-north", "work-orders-north"] {
             cause.apply(&stack, name).await;
@@ -67,7 +67,7 @@
         traffic.close().await
     };
     let (streamed, tally) = tokio::join!(streaming, operated);
-    assert!(is_whole_draft(&streamed.expect("a stream"), "long dispute"));
+    assert!(is_complete_draft(&streamed.expect("a stream"), "long dispute"));
     tally.check(&stack).await.expect("records");
     stack.close().await.expect("a clean stop");
 }
@@ -98,7 +98,7 @@
     };
     let (verdicts, ()) = tokio::join!(requests, left);
     for verdict in verdicts {
-        assert!(!matches!(verdict, Verdict::Broken(_)), "{verdict:?}");
+        assert!(!matches!(verdict, ResponseCheck::Unexpected(_)), "{verdict:?}");
     }
     stack.close().await.expect("a clean stop");
 }
--- a/crates/fakes/tests/not_run.rs
+++ b/crates/fakes/tests/not_run.rs
@@ -15,7 +15,7 @@
     stack::{
         caller::{Caller, CallerError, ReceivedResponse},
         expected,
-        faults::Verdict,
+        faults::ReportedOutcome,
         plan::StackPlan,
         process::Signal,
         run::Stack,
@@ -46,7 +46,7 @@
 struct Told {
     request: String,
     key: Option<String>,
-    verdict: Verdict,
+    verdict: ReportedOutcome,
     reason: String,
 }
 
@@ -62,7 +62,7 @@
         for _ in 0..=RESENDS {
             let entry = entries[random.random_range(0..2)];
             let last = send(&caller, entry, kind, &text, deadline_ms).await;
-            let ends = last.verdict != Verdict::Unknown;
+            let ends = last.verdict != ReportedOutcome::Unknown;
             told.push(last);
             if ends {
                 break;
@@ -108,12 +108,12 @@
         return Told {
             request: String::new(),
             key: None,
-            verdict: Verdict::Unknown,
+            verdict: ReportedOutcome::Unknown,
             reason: String::new(),
         };
     };
     if let Some(problem) = answer.problem {
-        let verdict = Verdict::of_problem(&problem);
+        let verdict = ReportedOutcome::of_problem(&problem);
         return Told {
             request: field(&problem, "request_id"),
             key: None,
@@ -126,7 +126,7 @@
     Told {
         request: field(&done, "request_id"),
         key: None,
-        verdict: Verdict::Done,
+        verdict: ReportedOutcome::Completed,
         reason: String::new(),
     }
 }
@@ -141,7 +141,7 @@
     Told {
         request: field(&body, "request_id"),
         key: key.map(str::to_owned),
-        verdict: Verdict::of(answer),
+        verdict: ReportedOutcome::of(answer),
         reason: field(&body, "reason"),
     }
 }
@@ -221,7 +221,7 @@
         let runs = calls.for_request(&told.request);
         let key_runs = told.key.as_ref().map_or(0, |it| calls.with_key(it));
         assert!(key_runs <= 1, "{:?} ran {key_runs} times", told.key);
-        if told.verdict != Verdict::NotRun {
+        if told.verdict != ReportedOutcome::NotRun {
             continue;
         }
         assert!(!told.request.is_empty(), "a refusal names its request");
--- a/crates/fakes/tests/planned_stop.rs
+++ b/crates/fakes/tests/planned_stop.rs
@@ -9,7 +9,7 @@
     plan::StackPlan,
     process::Signal,
     run::Stack,
-    traffic::{Traffic, Verdict, is_whole_draft, read_order},
+    traffic::{ResponseCheck, SteadyTraffic, is_complete_draft, read_order},
 };
 
 /// Requests in progress when an entry is told to stop.
@@ -62,11 +62,11 @@
         entry.signal(Signal::Terminate).await.expect("a signal");
         wait_not_ready(&caller, address).await;
         let refused = read_order(&caller, address, REQUESTS).await;
-        assert!(matches!(refused, Verdict::NotRun(_)), "{refused:?}");
+        assert!(matches!(refused, ResponseCheck::NotRun(_)), "{refused:?}");
     };
     let (plain, streamed, ()) = tokio::join!(join_all(plain), streamed, stopped);
-    assert_eq!(plain, vec![Verdict::Whole; REQUESTS]);
-    assert!(is_whole_draft(&streamed.expect("a stream"), "long dispute"));
+    assert_eq!(plain, vec![ResponseCheck::Complete; REQUESTS]);
+    assert!(is_complete_draft(&streamed.expect("a stream"), "long dispute"));
     let status = entry.close().await.expect("the entry stops");
     assert_eq!(status.code(), Some(0));
     stack.close().await.expect("a clean stop");
@@ -78,7 +78,7 @@
     let mut stack = start(2, 150).await;
     let caller = Caller::new("lone-star");
     let entries: Vec<SocketAddr> = stack.entries.iter().map(|it| it.address).collect();
-    let traffic = Traffic::start(caller.clone(), entries.clone(), INTERVAL);
+    let traffic = SteadyTraffic::start(caller.clone(), entries.clone(), INTERVAL);
     let streamed = caller.pipeline_stream(entries[0], "draft", "long dispute");
     // The steady traffic alone leaves it to chance whether a queue stands when the test looks.
     let burst = join_all((0..BURST).map(|it| read_order(&caller, entries[0], FIRST_OF_BURST + it)));
@@ -101,9 +101,12 @@
     };
     let (streamed, burst, (before, orders)) = tokio::join!(streamed, burst, stopped);
     for verdict in burst {
-        assert!(matches!(verdict, Verdict::Whole | Verdict::NotRun(_)), "{verdict:?}");
+        assert!(
+            matches!(verdict, ResponseCheck::Complete | ResponseCheck::NotRun(_)),
+            "{verdict:?}"
+        );
     }
-    assert!(is_whole_draft(&streamed.expect("a stream"), "long dispute"));
+    assert!(is_complete_draft(&streamed.expect("a stream"), "long dispute"));
     let tally = traffic.close().await;
     let after = stack.record(&stack.upstreams[orders]).await.expect("a record").calls;
     assert_eq!(after, before);
--- a/crates/fakes/tests/platform_down.rs
+++ b/crates/fakes/tests/platform_down.rs
@@ -9,7 +9,7 @@
         caller::{Caller, ReceivedResponse},
         plan::StackPlan,
         run::Stack,
-        traffic::{Verdict, is_whole_draft, read_order},
+        traffic::{ResponseCheck, is_complete_draft, read_order},
     },
 };
 
@@ -63,8 +63,8 @@
     for number in 0..REQUESTS {
         let input = format!("question {number}");
         let draft = caller.pipeline_stream(stack.entry(0), "draft", &input).await;
-        assert!(is_whole_draft(&draft.expect("a stream"), &input));
-        assert_eq!(read_order(&caller, stack.entry(0), number).await, Verdict::Whole);
+        assert!(is_complete_draft(&draft.expect("a stream"), &input));
+        assert_eq!(read_order(&caller, stack.entry(0), number).await, ResponseCheck::Complete);
     }
     for number in 0..2 {
         let key = format!("notice-{number}");
