--- a/crates/fakes/src/stack/link/tests.rs
+++ b/crates/fakes/src/stack/fault_proxy/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 /// Opens a link to a server that sends back what it receives.
-async fn echo() -> Link {
+async fn echo() -> FaultProxy {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -12,7 +12,7 @@
             });
         }
     });
-    Link::open(address).await.unwrap()
+    FaultProxy::open(address).await.unwrap()
 }
 
 /// Sends a byte and returns the one that comes back within the limit.
@@ -26,42 +26,42 @@
 
 #[tokio::test]
 async fn an_open_link_passes_bytes_both_ways() {
-    let link = echo().await;
-    let mut stream = TcpStream::connect(link.address()).await.unwrap();
+    let proxy = echo().await;
+    let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
     assert_eq!(exchange(&mut stream, 5_000).await.unwrap().unwrap(), b'x');
 }
 
 #[tokio::test]
 async fn a_link_that_loses_bytes_stays_open_and_is_reset_afterwards() {
-    for state in [LinkState::Silent, LinkState::NoneToTarget, LinkState::NoneFromTarget] {
-        let link = echo().await;
-        let mut stream = TcpStream::connect(link.address()).await.unwrap();
+    for state in [ProxyState::Stalled, ProxyState::DropToTarget, ProxyState::DropFromTarget] {
+        let proxy = echo().await;
+        let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
         assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
-        link.set(state);
+        proxy.set_state(state);
         assert!(exchange(&mut stream, 100).await.is_none(), "{state:?} passes nothing back");
-        link.set(LinkState::Open);
+        proxy.set_state(ProxyState::Forwarding);
         assert!(stream.read_u8().await.is_err(), "bytes were lost on this connection");
-        let mut stream = TcpStream::connect(link.address()).await.unwrap();
+        let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
         assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
     }
 }
 
 #[tokio::test]
 async fn a_reset_ends_open_and_new_connections() {
-    let link = echo().await;
-    let mut stream = TcpStream::connect(link.address()).await.unwrap();
+    let proxy = echo().await;
+    let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
     assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
-    link.set(LinkState::Reset);
+    proxy.set_state(ProxyState::Reset);
     assert!(stream.read_u8().await.is_err());
-    let mut late = TcpStream::connect(link.address()).await.unwrap();
+    let mut late = TcpStream::connect(proxy.address()).await.unwrap();
     assert!(late.read_u8().await.is_err());
 }
 
 #[tokio::test]
 async fn a_delay_holds_bytes_for_its_time() {
-    let link = echo().await;
-    link.set(LinkState::Delayed(60));
-    let mut stream = TcpStream::connect(link.address()).await.unwrap();
+    let proxy = echo().await;
+    proxy.set_state(ProxyState::Delayed(60));
+    let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
     let begun = std::time::Instant::now();
     assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
     assert!(begun.elapsed() >= Duration::from_millis(120), "60 ms each way");
@@ -69,17 +69,17 @@
 
 #[tokio::test]
 async fn a_cut_closes_what_is_open_and_lets_new_connections_pass() {
-    let link = echo().await;
-    let mut stream = TcpStream::connect(link.address()).await.unwrap();
+    let proxy = echo().await;
+    let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
     assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
-    assert_eq!(link.connections(), 1);
-    link.cut();
+    assert_eq!(proxy.open_connections(), 1);
+    proxy.close_connections();
     assert!(stream.read_u8().await.is_err());
-    let mut stream = TcpStream::connect(link.address()).await.unwrap();
+    let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
     assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
-    assert_eq!(link.connections(), 1);
-    let address = link.address();
-    link.close();
+    assert_eq!(proxy.open_connections(), 1);
+    let address = proxy.address();
+    proxy.close();
     assert!(stream.read_u8().await.is_err());
     assert!(TcpStream::connect(address).await.is_err());
 }
--- a/crates/fakes/src/stack/faults.rs
+++ b/crates/fakes/src/stack/faults.rs
@@ -8,7 +8,7 @@
 
 use super::{
     caller::{CallerError, ReceivedResponse},
-    link::Link,
+    fault_proxy::FaultProxy,
     process::{Process, ProcessError, Signal},
     run::{Stack, StackError, start_agent, start_entry_at, start_upstream},
 };
@@ -176,24 +176,24 @@
     /// # Errors
     ///
     /// Returns an error when the link does not open or the entries do not connect to it in time.
-    pub async fn interpose(&self, number: usize) -> Result<Link, StackError> {
+    pub async fn insert_proxy(&self, number: usize) -> Result<FaultProxy, StackError> {
         let pair = &self.upstreams[number];
-        let link = Link::open(pair.agent.address).await.map_err(ProcessError::from)?;
-        let instance = InstanceRecord { address: link.address(), ..pair.instance() };
+        let proxy = FaultProxy::open(pair.agent.address).await.map_err(ProcessError::from)?;
+        let instance = InstanceRecord { address: proxy.address(), ..pair.instance() };
         let listed = self.client.get::<InstanceRecord>(Kind::Instances, &pair.plan.name).await?;
         let Some(listed) = listed else {
             return Err(StackError::NotReached { what: format!("{} is listed", pair.plan.name) });
         };
         let version = listed.resource_version;
         self.client.update(Kind::Instances, &pair.plan.name, &version, &instance).await?;
-        wait_until("connections through the link", async || {
-            link.connections() == self.entries.len()
+        wait_until("connections through the proxy", async || {
+            proxy.open_connections() == self.entries.len()
         })
         .await?;
         for entry in &self.entries {
             self.wait_connected(entry.address, self.upstreams.len()).await?;
         }
-        Ok(link)
+        Ok(proxy)
     }
 
     /// Replaces the platform stand-in's switches.
--- a/crates/fakes/src/stack/mod.rs
+++ b/crates/fakes/src/stack/mod.rs
@@ -3,7 +3,7 @@
 pub mod caller;
 pub mod expected;
 pub mod faults;
-pub mod link;
+pub mod fault_proxy;
 pub mod operate;
 pub mod plan;
 pub mod process;
--- a/crates/fakes/tests/configuration.rs
+++ b/crates/fakes/tests/configuration.rs
@@ -10,7 +10,7 @@
     platform::Outage,
     stack::{
         caller::Caller,
-        link::Link,
+        fault_proxy::FaultProxy,
         operate::start_entry_at,
         plan::StackPlan,
         process::{Process, Signal},
@@ -146,8 +146,8 @@
     let plan = StackPlan::small(&["north"], &["north", "south"]).only_pool("work-orders");
     let document = plan.document.replace("estimate_ms = 20", "estimate_ms = 21");
     let mut stack = Stack::start(plan).await.expect("the stack starts");
-    let relay = Link::open(stack.platform.address).await.expect("a relay");
-    stack.add_entry("north", relay.address()).await.expect("a second entry");
+    let proxy = FaultProxy::open(stack.platform.address).await.expect("a proxy");
+    stack.add_entry("north", proxy.address()).await.expect("a second entry");
     stack.add_entry("north", stack.platform.address).await.expect("a third entry");
     stack.list_entries(&["north"; 3]).await.expect("the entries know each other");
     let entries: Arc<[SocketAddr]> = stack.entries.iter().map(|it| it.address).collect();
@@ -155,7 +155,7 @@
     stack.accepted(&["data-centre", "out", "south"]).await.expect("accepted");
     let digest = put_into_trial(&stack, &document).await;
 
-    relay.close();
+    proxy.close();
     stack.accepted(&["promote", "--digest", &digest]).await.expect("accepted");
     let deadline = Instant::now() + IN_FORCE_WITHIN;
     stack.set_outage(Some(Outage::Reset)).await.expect("an outage");
--- a/crates/fakes/tests/data_centre_out.rs
+++ b/crates/fakes/tests/data_centre_out.rs
@@ -7,7 +7,7 @@
     platform::Outage,
     stack::{
         caller::Caller,
-        link::Link,
+        fault_proxy::FaultProxy,
         plan::StackPlan,
         process::Signal,
         run::Stack,
@@ -39,20 +39,20 @@
 }
 
 /// Starts two entries in `north`; the second reaches the platform through the relay.
-async fn start() -> (Stack, Link) {
+async fn start() -> (Stack, FaultProxy) {
     let mut plan = StackPlan::small(&["north"], &["north", "south"]);
     plan.upstreams.retain(|it| it.name != "engines-south");
     plan.switch_pool("engines", |it| it.token_delay_ms = 250);
     let mut stack = Stack::start(plan).await.expect("the stack starts");
-    let relay = Link::open(stack.platform.address).await.expect("a relay");
-    stack.add_entry("north", relay.address()).await.expect("a second entry");
+    let proxy = FaultProxy::open(stack.platform.address).await.expect("a proxy");
+    stack.add_entry("north", proxy.address()).await.expect("a second entry");
     stack.list_entries(&["north", "north"]).await.expect("the entries know each other");
-    (stack, relay)
+    (stack, proxy)
 }
 
 async fn take_out_and_back(faults: Faults) {
     let _one = ONE_STACK.lock().await;
-    let (stack, relay) = start().await;
+    let (stack, proxy) = start().await;
     let entries: Vec<SocketAddr> = stack.entries.iter().map(|it| it.address).collect();
     let caller = Caller::new("lone-star");
     let streaming = caller.pipeline_stream(entries[0], "draft", "long dispute");
@@ -62,7 +62,7 @@
         let traffic = SteadyTraffic::start(caller.clone(), entries.clone(), INTERVAL);
         stack.wait_calls_in("north", 20).await.expect("work in north");
         if faults.cut_entry {
-            relay.close();
+            proxy.close();
         }
         stack.accepted(&["data-centre", "out", "north"]).await.expect("accepted");
         if faults.outage {
--- a/crates/fakes/tests/whole_answers.rs
+++ b/crates/fakes/tests/whole_answers.rs
@@ -129,18 +129,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_resume_after_cut_connections() {
     let stack = start().await;
-    let relays =
-        [stack.interpose(1).await.expect("a relay"), stack.interpose(2).await.expect("a relay")];
+    let proxies = [
+        stack.insert_proxy(1).await.expect("a proxy"),
+        stack.insert_proxy(2).await.expect("a proxy"),
+    ];
     for round in 0..ROUNDS {
         let (traffic, _) = send_and_wait_for_output(&stack, &round.to_string()).await;
-        for relay in &relays {
-            relay.cut();
+        for proxy in &proxies {
+            proxy.close_connections();
         }
         let streams = traffic.check().await;
         assert_eq!(streams, Streams { whole: REQUESTS * 2, cut: 0 });
     }
-    for relay in relays {
-        relay.close();
+    for proxy in proxies {
+        proxy.close();
     }
 }
 
