--- a/crates/fakes/src/capacity/rig.rs
+++ b/crates/fakes/src/capacity/rig.rs
@@ -15,8 +15,8 @@
         plan::{DEMO_POOLS, UpstreamPlan},
         process::{Process, ProcessError},
         run::{
-            ENVIRONMENT, StackError, UpstreamPair, entry_instance, promote, start_agent,
-            start_entry, start_upstream,
+            ENVIRONMENT, StackError, UpstreamPair, entry_instance, start_agent, start_entry,
+            start_upstream, write_initial_config,
         },
     },
 };
@@ -88,7 +88,7 @@
             ..ClientSettings::default()
         });
         let platform_tap = Tap::open(platform.address).await.map_err(ProcessError::from)?;
-        promote(&client, 1, document).await?;
+        write_initial_config(&client, 1, document).await?;
         let upstream = start_upstream(&UpstreamPlan::new("shared", 0), "127.0.0.1:0").await?;
         let mut rig = Self {
             platform,
@@ -164,8 +164,10 @@
         let plan = UpstreamPlan::new(pool, number);
         let process = start_agent(&plan, self.upstream.address, "127.0.0.1:0").await?;
         let tap = Tap::open(process.address).await.map_err(ProcessError::from)?;
-        let record =
-            InstanceRecord { address: tap.address, ..UpstreamPair::record(&plan, process.address) };
+        let record = InstanceRecord {
+            address: tap.address,
+            ..UpstreamPair::instance_record(&plan, process.address)
+        };
         self.client.create(Kind::Instances, &record.name, &record).await?;
         self.agents.push(Tapped { process, tap });
         Ok(())
--- a/crates/fakes/src/scenarios/drive.rs
+++ b/crates/fakes/src/scenarios/drive.rs
@@ -117,7 +117,7 @@
             Action::Switch { pool, count, switches } => {
                 let pairs = self.stack.upstreams.iter().filter(|it| it.plan.pool == *pool);
                 for pair in pairs.take(*count) {
-                    self.stack.switch(pair, switches).await?;
+                    self.stack.set_upstream_switches(pair, switches).await?;
                 }
             }
             Action::TurnCold(pool) => self.turn_cold(pool).await?,
@@ -195,7 +195,7 @@
     async fn kill_agents(&mut self, count: usize) -> Result<(), StackError> {
         let step = self.stack.upstreams.len() / count;
         for index in (0..self.stack.upstreams.len()).step_by(step).take(count) {
-            self.stack.upstreams[index].agent.end_now().await?;
+            self.stack.upstreams[index].agent.kill_in_place().await?;
             self.killed.push(index);
         }
         Ok(())
--- a/crates/fakes/src/scenarios/list.rs
+++ b/crates/fakes/src/scenarios/list.rs
@@ -86,7 +86,7 @@
 fn cold_pool() -> Scenario {
     let events = vec![Event::new(2_000, Action::TurnCold("engines"))];
     let mut scenario = scenario("cold-pool", UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events);
-    scenario.stack.switch_pool("engines", |it| {
+    scenario.stack.change_pool_switches("engines", |it| {
         it.cold_bearable = COLD_BEARABLE;
         it.cold_calls = COLD_CALLS;
     });
@@ -119,7 +119,7 @@
     let resend = Action::Resend { input: POISON, times: 6 };
     let events = vec![Event::new(1_500, resend)];
     let mut scenario = scenario("poison", MORE_UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events);
-    scenario.stack.switch_pool("engines", |it| it.crash_on = Some(POISON.to_owned()));
+    scenario.stack.change_pool_switches("engines", |it| it.crash_on = Some(POISON.to_owned()));
     scenario
 }
 
@@ -132,7 +132,7 @@
     let mut stack = StackPlan::sized(ENTRIES, upstreams);
     stack.document = document();
     for pool in POOLS {
-        stack.switch_pool(pool, |it| {
+        stack.change_pool_switches(pool, |it| {
             it.delay_ms = DELAY_MS;
             it.token_delay_ms = TOKEN_DELAY_MS;
         });
--- a/crates/fakes/src/stack/faults.rs
+++ b/crates/fakes/src/stack/faults.rs
@@ -10,7 +10,7 @@
     caller::{CallerError, ReceivedResponse},
     fault_proxy::FaultProxy,
     process::{Process, ProcessError, Signal},
-    run::{Stack, StackError, start_agent, start_entry_at, start_upstream},
+    run::{Stack, StackError, start_agent, start_entry_listening_at, start_upstream},
 };
 use crate::{platform, upstream::server::CALL_LINE};
 
@@ -25,21 +25,21 @@
 
 /// Calls that the upstreams of a stack began, those of ended processes included.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Calls {
+pub struct UpstreamCalls {
     /// Calls by request identifier.
     pub by_request: FastMap<String, u32>,
     /// Calls by idempotency key.
     pub by_key: FastMap<String, u32>,
 }
 
-impl Calls {
+impl UpstreamCalls {
     /// Returns the number of calls that carried an idempotency key.
-    pub fn with_key(&self, key: &str) -> u32 {
+    pub fn count_for_key(&self, key: &str) -> u32 {
         self.by_key.get(key).copied().unwrap_or(0)
     }
 
     /// Returns the number of calls made for a request.
-    pub fn for_request(&self, request: &str) -> u32 {
+    pub fn count_for_request(&self, request: &str) -> u32 {
         self.by_request.get(request).copied().unwrap_or(0)
     }
 
@@ -111,10 +111,11 @@
     /// Returns an error when the new process does not start.
     pub async fn replace_agent(&mut self, number: usize) -> Result<(), StackError> {
         let pair = &mut self.upstreams[number];
-        end(&mut pair.agent).await?;
+        kill(&mut pair.agent).await?;
         let listen = pair.agent.address.to_string();
         let (plan, upstream) = (pair.plan.clone(), pair.upstream.address);
-        pair.agent = start_again(async || start_agent(&plan, upstream, &listen).await).await?;
+        pair.agent =
+            start_with_retries(async || start_agent(&plan, upstream, &listen).await).await?;
         Ok(())
     }
 
@@ -123,8 +124,8 @@
     /// # Errors
     ///
     /// Returns an error when the process cannot be ended.
-    pub async fn end_upstream(&mut self, number: usize) -> Result<(), StackError> {
-        end(&mut self.upstreams[number].upstream).await
+    pub async fn kill_upstream(&mut self, number: usize) -> Result<(), StackError> {
+        kill(&mut self.upstreams[number].upstream).await
     }
 
     /// Ends an upstream without warning and starts another at the same address.
@@ -133,12 +134,12 @@
     ///
     /// Returns an error when the new process does not start.
     pub async fn replace_upstream(&mut self, number: usize) -> Result<(), StackError> {
-        self.end_upstream(number).await?;
+        self.kill_upstream(number).await?;
         let pair = &mut self.upstreams[number];
         let listen = pair.upstream.address.to_string();
         let plan = pair.plan.clone();
-        let upstream = start_again(async || start_upstream(&plan, &listen).await).await?;
-        self.ended.push(std::mem::replace(&mut pair.upstream, upstream));
+        let upstream = start_with_retries(async || start_upstream(&plan, &listen).await).await?;
+        self.killed_upstreams.push(std::mem::replace(&mut pair.upstream, upstream));
         Ok(())
     }
 
@@ -147,8 +148,8 @@
     /// # Errors
     ///
     /// Returns an error when the process cannot be ended.
-    pub async fn end_entry(&mut self, number: usize) -> Result<(), StackError> {
-        end(&mut self.entries[number]).await
+    pub async fn kill_entry(&mut self, number: usize) -> Result<(), StackError> {
+        kill(&mut self.entries[number]).await
     }
 
     /// Ends an entry without warning, starts another at the same address and waits until it reaches
@@ -162,12 +163,12 @@
         number: usize,
         data_centre: &str,
     ) -> Result<(), StackError> {
-        self.end_entry(number).await?;
+        self.kill_entry(number).await?;
         let (name, listen) =
             (self.entries[number].name.clone(), self.entries[number].address.to_string());
         let platform = self.platform.address;
-        let start = async || start_entry_at(&name, data_centre, platform, &listen).await;
-        self.entries[number] = start_again(start).await?;
+        let start = async || start_entry_listening_at(&name, data_centre, platform, &listen).await;
+        self.entries[number] = start_with_retries(start).await?;
         self.wait_connected(self.entry(number), self.upstreams.len()).await
     }
 
@@ -201,7 +202,10 @@
     /// # Errors
     ///
     /// Returns an error when the stand-in does not answer.
-    pub async fn set_platform(&self, switches: &platform::Switches) -> Result<(), StackError> {
+    pub async fn set_platform_switches(
+        &self,
+        switches: &platform::Switches,
+    ) -> Result<(), StackError> {
         let body = serde_json::to_vec(switches).unwrap_or_default();
         self.caller.send(self.platform.address, "PUT", "/fake/switches", &[], body).await?;
         Ok(())
@@ -235,8 +239,8 @@
     /// # Errors
     ///
     /// Returns an error when a live upstream does not answer.
-    pub async fn calls(&self) -> Result<Calls, StackError> {
-        let mut calls = Calls::default();
+    pub async fn calls(&self) -> Result<UpstreamCalls, StackError> {
+        let mut calls = UpstreamCalls::default();
         for pair in &self.upstreams {
             let Ok(record) = self.record(pair).await else { continue };
             // The lines of a live process arrive shortly after the calls that they name.
@@ -246,7 +250,7 @@
             .await?;
         }
         let live = self.upstreams.iter().map(|it| &it.upstream);
-        for process in live.chain(&self.ended) {
+        for process in live.chain(&self.killed_upstreams) {
             for line in call_lines(process) {
                 calls.add(&line);
             }
@@ -259,7 +263,7 @@
     /// # Errors
     ///
     /// Returns an error when no upstream does in time.
-    pub async fn wait_running(&self, key: &str) -> Result<usize, StackError> {
+    pub async fn wait_for_run(&self, key: &str) -> Result<usize, StackError> {
         for _ in 0..POLL_LIMIT {
             for (number, pair) in self.upstreams.iter().enumerate() {
                 let record = self.record(pair).await?;
@@ -278,14 +282,14 @@
     log.iter().filter(|it| it.starts_with(CALL_LINE)).cloned().collect()
 }
 
-async fn end(process: &mut Process) -> Result<(), StackError> {
+async fn kill(process: &mut Process) -> Result<(), StackError> {
     process.signal(Signal::Kill).await?;
     process.wait().await?;
     Ok(())
 }
 
 /// Starts a process, again after a while if its address is taken.
-async fn start_again(
+async fn start_with_retries(
     start: impl AsyncFn() -> Result<Process, StackError>,
 ) -> Result<Process, StackError> {
     for _ in 1..START_ATTEMPTS {
--- a/crates/fakes/src/stack/mod.rs
+++ b/crates/fakes/src/stack/mod.rs
@@ -2,9 +2,9 @@
 
 pub mod caller;
 pub mod expected;
-pub mod faults;
 pub mod fault_proxy;
-pub mod operate;
+pub mod faults;
+pub mod operator;
 pub mod plan;
 pub mod process;
 pub mod run;
--- a/crates/fakes/src/stack/operate.rs
+++ b/crates/fakes/src/stack/operator.rs
@@ -28,7 +28,7 @@
 
 /// What an operators' command returned.
 #[derive(Clone, Debug, PartialEq)]
-pub struct CommandAnswer {
+pub struct CommandOutput {
     /// Exit code; none if a signal ended the command.
     pub code: Option<i32>,
     /// The result that the command printed.
@@ -73,8 +73,9 @@
         platform: SocketAddr,
     ) -> Result<(), StackError> {
         let name = format!("entry-{}", self.entries.len());
-        let entry = start_entry_at(&name, data_centre, platform, "127.0.0.1:0").await?;
-        self.wait_open(entry.address).await?;
+        let entry =
+            start_entry_with_peer_address(&name, data_centre, platform, "127.0.0.1:0").await?;
+        self.wait_dispatchable(entry.address).await?;
         self.entries.push(entry);
         Ok(())
     }
@@ -84,7 +85,7 @@
     /// # Errors
     ///
     /// Returns an error when the platform refuses or an entry does not learn of the others.
-    pub async fn list_entries(&self, data_centres: &[&str]) -> Result<(), StackError> {
+    pub async fn register_entries(&self, data_centres: &[&str]) -> Result<(), StackError> {
         for (entry, data_centre) in self.entries.iter().zip(data_centres) {
             let instance = entry_instance(entry, data_centre);
             self.client.create(Kind::Instances, &entry.name, &instance).await?;
@@ -101,14 +102,17 @@
     /// # Errors
     ///
     /// Returns an error when the command cannot be run.
-    pub async fn operator(&self, arguments: &[&str]) -> Result<CommandAnswer, StackError> {
+    pub async fn run_operator_command(
+        &self,
+        arguments: &[&str],
+    ) -> Result<CommandOutput, StackError> {
         let command = Command::new(binary_path("yuccatrail").map_err(ProcessError::from)?)
             .args(arguments)
             .args(["--json", "--platform", &self.platform.address.to_string()])
             .output();
         let output = command.await.map_err(ProcessError::from)?;
         let result = serde_json::from_slice(&output.stdout).unwrap_or_default();
-        Ok(CommandAnswer { code: output.status.code(), result })
+        Ok(CommandOutput { code: output.status.code(), result })
     }
 
     /// Runs an operators' command that has to be accepted.
@@ -116,8 +120,8 @@
     /// # Errors
     ///
     /// Returns an error when the command is not accepted.
-    pub async fn accepted(&self, arguments: &[&str]) -> Result<(), StackError> {
-        let answer = self.operator(arguments).await?;
+    pub async fn run_accepted_command(&self, arguments: &[&str]) -> Result<(), StackError> {
+        let answer = self.run_operator_command(arguments).await?;
         if answer.code == Some(0) {
             return Ok(());
         }
@@ -141,7 +145,11 @@
     /// # Errors
     ///
     /// Returns an error when the platform refuses.
-    pub async fn list_state(&self, name: &str, state: InstanceState) -> Result<(), StackError> {
+    pub async fn set_listed_state(
+        &self,
+        name: &str,
+        state: InstanceState,
+    ) -> Result<(), StackError> {
         let object = self.client.get::<InstanceRecord>(Kind::Instances, name).await?;
         let Some(object) = object else {
             return Err(StackError::NotReached { what: format!("{name} listed") });
@@ -152,7 +160,7 @@
     }
 
     /// Returns the position of an upstream by name.
-    pub fn position(&self, name: &str) -> Option<usize> {
+    pub fn upstream_index(&self, name: &str) -> Option<usize> {
         self.upstreams.iter().position(|it| it.plan.name == name)
     }
 
@@ -175,7 +183,11 @@
     /// # Errors
     ///
     /// Returns an error when they are not given any in time.
-    pub async fn wait_calls_in(&self, data_centre: &str, calls: u64) -> Result<(), StackError> {
+    pub async fn wait_more_calls_in(
+        &self,
+        data_centre: &str,
+        calls: u64,
+    ) -> Result<(), StackError> {
         for _ in 0..POLL_LIMIT {
             if self.calls_in(data_centre).await? > calls {
                 return Ok(());
@@ -207,7 +219,7 @@
 /// # Errors
 ///
 /// Returns an error when the process does not start.
-pub async fn start_entry_at(
+pub async fn start_entry_with_peer_address(
     name: &str,
     data_centre: &str,
     platform: SocketAddr,
--- a/crates/fakes/src/stack/plan.rs
+++ b/crates/fakes/src/stack/plan.rs
@@ -85,7 +85,7 @@
     }
 
     /// Applies a change to the switches of every upstream of a pool.
-    pub fn switch_pool(&mut self, pool: &str, change: impl Fn(&mut Switches)) {
+    pub fn change_pool_switches(&mut self, pool: &str, change: impl Fn(&mut Switches)) {
         for upstream in &mut self.upstreams {
             if upstream.pool == pool {
                 change(&mut upstream.switches);
--- a/crates/fakes/src/stack/process.rs
+++ b/crates/fakes/src/stack/process.rs
@@ -156,7 +156,7 @@
     /// # Errors
     ///
     /// Returns an error when the process cannot be ended.
-    pub async fn end_now(&mut self) -> Result<(), ProcessError> {
+    pub async fn kill_in_place(&mut self) -> Result<(), ProcessError> {
         self.child.kill().await?;
         Ok(())
     }
--- a/crates/fakes/src/stack/run.rs
+++ b/crates/fakes/src/stack/run.rs
@@ -72,7 +72,7 @@
     /// Caller for requests and for the stand-ins' switches.
     pub caller: Caller,
     /// Upstream stand-ins that were ended and replaced.
-    pub(crate) ended: Vec<Process>,
+    pub(crate) killed_upstreams: Vec<Process>,
 }
 
 impl Stack {
@@ -82,14 +82,14 @@
     ///
     /// Returns an error when a process does not start or the entries do not become ready.
     pub async fn start(plan: StackPlan) -> Result<Self, StackError> {
-        let arguments = strings(&["platform", "--listen", "127.0.0.1:0"]);
+        let arguments = to_strings(&["platform", "--listen", "127.0.0.1:0"]);
         let platform = Process::start("platform", "yuccatrail-fakes", &arguments).await?;
         let client = Client::new(ClientSettings {
             address: platform.address,
             environment: ENVIRONMENT.to_owned(),
             ..ClientSettings::default()
         });
-        promote(&client, 1, &plan.document).await?;
+        write_initial_config(&client, 1, &plan.document).await?;
         let mut upstreams = Vec::new();
         for upstream in plan.upstreams {
             let pair = start_pair(upstream).await?;
@@ -103,9 +103,10 @@
             );
         }
         let caller = Caller::new("lone-star");
-        let stack = Self { platform, client, entries, upstreams, caller, ended: Vec::new() };
+        let stack =
+            Self { platform, client, entries, upstreams, caller, killed_upstreams: Vec::new() };
         for entry in &stack.entries {
-            stack.wait_open(entry.address).await?;
+            stack.wait_dispatchable(entry.address).await?;
         }
         Ok(stack)
     }
@@ -117,7 +118,7 @@
     /// # Errors
     ///
     /// Returns an error when that is not reached in time.
-    pub async fn wait_open(&self, entry: SocketAddr) -> Result<(), StackError> {
+    pub async fn wait_dispatchable(&self, entry: SocketAddr) -> Result<(), StackError> {
         self.wait_status(entry, "all upstreams open", |status| {
             let upstreams = status["upstreams"].as_array().map_or(&[][..], Vec::as_slice);
             let is_open = |it: &&Value| it["connected"] == true && it["refusal"].is_null();
@@ -182,7 +183,11 @@
     /// # Errors
     ///
     /// Returns an error when the stand-in does not answer.
-    pub async fn switch(&self, pair: &UpstreamPair, switches: &Switches) -> Result<(), StackError> {
+    pub async fn set_upstream_switches(
+        &self,
+        pair: &UpstreamPair,
+        switches: &Switches,
+    ) -> Result<(), StackError> {
         let body = serde_json::to_vec(switches).unwrap_or_default();
         self.caller.send(pair.upstream.address, "POST", "/fake/switches", &[], body).await?;
         Ok(())
@@ -194,27 +199,27 @@
     ///
     /// Returns an error when a process does not stop or reports a failure.
     pub async fn close(self) -> Result<(), StackError> {
-        close_clean(self.entries).await?;
+        stop_all(self.entries).await?;
         let mut agents = Vec::new();
         let mut upstreams = Vec::new();
         for pair in self.upstreams {
             agents.push(pair.agent);
             upstreams.push(pair.upstream);
         }
-        close_clean(agents).await?;
-        close_clean(upstreams).await?;
-        close_clean(vec![self.platform]).await
+        stop_all(agents).await?;
+        stop_all(upstreams).await?;
+        stop_all(vec![self.platform]).await
     }
 }
 
 impl UpstreamPair {
     /// Returns the instance record that the platform lists.
     pub fn instance(&self) -> InstanceRecord {
-        Self::record(&self.plan, self.agent.address)
+        Self::instance_record(&self.plan, self.agent.address)
     }
 
     /// Returns the instance record of a planned upstream whose agent listens on `address`.
-    pub fn record(plan: &UpstreamPlan, address: SocketAddr) -> InstanceRecord {
+    pub fn instance_record(plan: &UpstreamPlan, address: SocketAddr) -> InstanceRecord {
         InstanceRecord {
             name: plan.name.clone(),
             role: InstanceRole::Upstream,
@@ -243,7 +248,11 @@
 /// # Errors
 ///
 /// Returns an error when the platform refuses the write.
-pub async fn promote(client: &Client, version: u64, text: &str) -> Result<(), StackError> {
+pub async fn write_initial_config(
+    client: &Client,
+    version: u64,
+    text: &str,
+) -> Result<(), StackError> {
     let digest = Digest::of(text.as_bytes());
     let record = ConfigRecord { version, digest, text: text.into() };
     let stored = StoredConfig { record, history: Vec::new() };
@@ -261,7 +270,7 @@
     data_centre: &str,
     platform: SocketAddr,
 ) -> Result<Process, StackError> {
-    start_entry_at(name, data_centre, platform, "127.0.0.1:0").await
+    start_entry_listening_at(name, data_centre, platform, "127.0.0.1:0").await
 }
 
 /// Starts an entry process on an address.
@@ -269,14 +278,14 @@
 /// # Errors
 ///
 /// Returns an error when the process does not start.
-pub async fn start_entry_at(
+pub async fn start_entry_listening_at(
     name: &str,
     data_centre: &str,
     platform: SocketAddr,
     listen: &str,
 ) -> Result<Process, StackError> {
     let platform = platform.to_string();
-    let arguments = strings(&[
+    let arguments = to_strings(&[
         "serve",
         "--name",
         name,
@@ -305,7 +314,7 @@
     listen: &str,
 ) -> Result<Process, StackError> {
     let upstream = upstream.to_string();
-    let arguments = strings(&[
+    let arguments = to_strings(&[
         "--name",
         &plan.name,
         "--pool",
@@ -329,7 +338,7 @@
 /// Returns an error when the process does not start.
 pub async fn start_upstream(plan: &UpstreamPlan, listen: &str) -> Result<Process, StackError> {
     let switches = serde_json::to_string(&plan.switches).unwrap_or_default();
-    let arguments = strings(&["upstream", "--listen", listen, "--switches", &switches]);
+    let arguments = to_strings(&["upstream", "--listen", listen, "--switches", &switches]);
     Ok(Process::start(&plan.name, "yuccatrail-fakes", &arguments).await?)
 }
 
@@ -340,7 +349,7 @@
 }
 
 /// Stops processes side by side and checks that each exits with success.
-async fn close_clean(processes: Vec<Process>) -> Result<(), StackError> {
+async fn stop_all(processes: Vec<Process>) -> Result<(), StackError> {
     let mut closing = Vec::new();
     for process in processes {
         let name = process.name.clone();
@@ -357,6 +366,6 @@
     Ok(())
 }
 
-fn strings(arguments: &[&str]) -> Vec<String> {
+fn to_strings(arguments: &[&str]) -> Vec<String> {
     arguments.iter().map(|it| (*it).to_owned()).collect()
 }
--- a/crates/fakes/tests/at_most_once.rs
+++ b/crates/fakes/tests/at_most_once.rs
@@ -33,7 +33,7 @@
 
 async fn start(call_ms: u64) -> Stack {
     let mut plan = StackPlan::short(&[("work-orders", 2)]);
-    plan.switch_pool("work-orders", |it| it.delay_ms = call_ms);
+    plan.change_pool_switches("work-orders", |it| it.delay_ms = call_ms);
     Stack::start(plan).await.expect("the stack starts")
 }
 
@@ -53,7 +53,7 @@
 }
 
 async fn runs(stack: &Stack, key: &str) -> u32 {
-    stack.calls().await.expect("the records of the upstreams").with_key(key)
+    stack.calls().await.expect("the records of the upstreams").count_for_key(key)
 }
 
 /// Makes the platform lose the answer to the next write and waits until that write took effect.
@@ -67,7 +67,7 @@
         delay_ms: SLOW_PLATFORM_MS,
         ..PlatformSwitches::default()
     };
-    stack.set_platform(&slow).await.expect("switches");
+    stack.set_platform_switches(&slow).await.expect("switches");
     let before = stack.platform_counters().await.expect("counters").effects;
     let call = send(stack, 0, key, headers);
     let claimed = async || stack.platform_counters().await.is_ok_and(|it| it.effects > before);
@@ -76,7 +76,7 @@
 }
 
 async fn heal_platform(stack: &Stack) {
-    stack.set_platform(&PlatformSwitches::default()).await.expect("switches");
+    stack.set_platform_switches(&PlatformSwitches::default()).await.expect("switches");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -117,7 +117,7 @@
     for round in 0..ROUNDS {
         let key = format!("claimed-{round}");
         let call = send_and_wait_for_claim(&stack, &key, &[]).await;
-        stack.end_entry(0).await.expect("the entry ends");
+        stack.kill_entry(0).await.expect("the entry ends");
         assert!(call.await.expect("the caller ends").is_err());
         heal_platform(&stack).await;
         assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
@@ -133,8 +133,8 @@
     for round in 0..ROUNDS {
         let key = format!("dispatched-{round}");
         let call = send(&stack, 0, &key, &[]);
-        stack.wait_running(&key).await.expect("a run");
-        stack.end_entry(0).await.expect("the entry ends");
+        stack.wait_for_run(&key).await.expect("a run");
+        stack.kill_entry(0).await.expect("the entry ends");
         assert!(call.await.expect("the caller ends").is_err());
         assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
         stack.replace_entry(0, "north").await.expect("the entry starts");
@@ -168,7 +168,7 @@
     for round in 0..ROUNDS {
         let key = format!("reset-{round}");
         let reset = PlatformSwitches { outage: Some(Outage::Reset), ..PlatformSwitches::default() };
-        stack.set_platform(&reset).await.expect("switches");
+        stack.set_platform_switches(&reset).await.expect("switches");
         let calls = [0, 1].map(|entry| send(&stack, entry, &key, SHORT_DEADLINE));
         for answer in join_all(calls).await {
             let answer = answer.expect("the caller ends");
@@ -241,7 +241,7 @@
         let mut stack = start(LONG_CALL_MS).await;
         let key = format!("agent-killed-{round}");
         let call = send(&stack, round % 2, &key, &[]);
-        let number = stack.wait_running(&key).await.expect("a run");
+        let number = stack.wait_for_run(&key).await.expect("a run");
         stack.replace_agent(number).await.expect("the agent starts");
         let answer = call.await.expect("the caller ends");
         assert_eq!(ReportedOutcome::of(&answer), ReportedOutcome::Unknown, "{answer:?}");
@@ -258,7 +258,7 @@
         let mut stack = start(LONG_CALL_MS).await;
         let key = format!("upstream-killed-{round}");
         let call = send(&stack, round % 2, &key, &[]);
-        let number = stack.wait_running(&key).await.expect("a run");
+        let number = stack.wait_for_run(&key).await.expect("a run");
         stack.replace_upstream(number).await.expect("the upstream starts");
         let answer = call.await.expect("the caller ends");
         assert_eq!(ReportedOutcome::of(&answer), ReportedOutcome::Unknown, "{answer:?}");
--- a/crates/fakes/tests/cold_start.rs
+++ b/crates/fakes/tests/cold_start.rs
@@ -24,7 +24,7 @@
 
 async fn start() -> Stack {
     let mut plan = StackPlan::short(&[("work-orders", 1)]);
-    plan.switch_pool("work-orders", |it| {
+    plan.change_pool_switches("work-orders", |it| {
         it.delay_ms = CALL_MS;
         it.cold_calls = COLD_CALLS;
         it.cold_bearable = BEARABLE;
--- a/crates/fakes/tests/configuration.rs
+++ b/crates/fakes/tests/configuration.rs
@@ -11,10 +11,10 @@
     stack::{
         caller::Caller,
         fault_proxy::FaultProxy,
-        operate::start_entry_at,
+        operator::start_entry_with_peer_address,
         plan::StackPlan,
         process::{Process, Signal},
-        run::{Stack, promote, start_agent},
+        run::{Stack, start_agent, write_initial_config},
         traffic::{ResponseCheck, read_order},
     },
 };
@@ -115,7 +115,7 @@
         environment: "trial".to_owned(),
         ..ClientSettings::default()
     });
-    promote(&trial, 1, document).await.expect("in trial");
+    write_initial_config(&trial, 1, document).await.expect("in trial");
     Digest::of(document.as_bytes()).to_string()
 }
 
@@ -135,7 +135,8 @@
     let peer = entry.admin_address.expect("a peer address").to_string();
     let name = entry.name.clone();
     entry.kill().await.expect("killed");
-    let entry = start_entry_at(&name, "north", NOWHERE, &peer).await.expect("an entry");
+    let entry =
+        start_entry_with_peer_address(&name, "north", NOWHERE, &peer).await.expect("an entry");
     let address = entry.address;
     stack.entries.push(entry);
     address
@@ -149,14 +150,14 @@
     let proxy = FaultProxy::open(stack.platform.address).await.expect("a proxy");
     stack.add_entry("north", proxy.address()).await.expect("a second entry");
     stack.add_entry("north", stack.platform.address).await.expect("a third entry");
-    stack.list_entries(&["north"; 3]).await.expect("the entries know each other");
+    stack.register_entries(&["north"; 3]).await.expect("the entries know each other");
     let entries: Arc<[SocketAddr]> = stack.entries.iter().map(|it| it.address).collect();
     let sampler = Sampler::start(entries.to_vec());
-    stack.accepted(&["data-centre", "out", "south"]).await.expect("accepted");
+    stack.run_accepted_command(&["data-centre", "out", "south"]).await.expect("accepted");
     let digest = put_into_trial(&stack, &document).await;
 
     proxy.close();
-    stack.accepted(&["promote", "--digest", &digest]).await.expect("accepted");
+    stack.run_accepted_command(&["promote", "--digest", &digest]).await.expect("accepted");
     let deadline = Instant::now() + IN_FORCE_WITHIN;
     stack.set_outage(Some(Outage::Reset)).await.expect("an outage");
     wait_in_force(&entries, 2, 2, deadline).await;
@@ -180,7 +181,9 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_and_an_agent_that_never_held_a_version_serve_nothing() {
-    let entry = start_entry_at("entry", "north", NOWHERE, "127.0.0.1:0").await.expect("an entry");
+    let entry = start_entry_with_peer_address("entry", "north", NOWHERE, "127.0.0.1:0")
+        .await
+        .expect("an entry");
     let caller = Caller::new("lone-star");
     let verdict = read_order(&caller, entry.address, 0).await;
     assert!(matches!(verdict, ResponseCheck::NotRun(_)), "{verdict:?}");
--- a/crates/fakes/tests/data_centre_out.rs
+++ b/crates/fakes/tests/data_centre_out.rs
@@ -42,11 +42,11 @@
 async fn start() -> (Stack, FaultProxy) {
     let mut plan = StackPlan::small(&["north"], &["north", "south"]);
     plan.upstreams.retain(|it| it.name != "engines-south");
-    plan.switch_pool("engines", |it| it.token_delay_ms = 250);
+    plan.change_pool_switches("engines", |it| it.token_delay_ms = 250);
     let mut stack = Stack::start(plan).await.expect("the stack starts");
     let proxy = FaultProxy::open(stack.platform.address).await.expect("a proxy");
     stack.add_entry("north", proxy.address()).await.expect("a second entry");
-    stack.list_entries(&["north", "north"]).await.expect("the entries know each other");
+    stack.register_entries(&["north", "north"]).await.expect("the entries know each other");
     (stack, proxy)
 }
 
@@ -57,14 +57,14 @@
     let caller = Caller::new("lone-star");
     let streaming = caller.pipeline_stream(entries[0], "draft", "long dispute");
     let mut operated = Box::pin(async {
-        let north = stack.position("engines-north").expect("an engine in north");
+        let north = stack.upstream_index("engines-north").expect("an engine in north");
         stack.wait_calls_running(north, 1).await.expect("the stream runs in north");
         let traffic = SteadyTraffic::start(caller.clone(), entries.clone(), INTERVAL);
-        stack.wait_calls_in("north", 20).await.expect("work in north");
+        stack.wait_more_calls_in("north", 20).await.expect("work in north");
         if faults.cut_entry {
             proxy.close();
         }
-        stack.accepted(&["data-centre", "out", "north"]).await.expect("accepted");
+        stack.run_accepted_command(&["data-centre", "out", "north"]).await.expect("accepted");
         if faults.outage {
             stack.set_outage(Some(Outage::Unavailable)).await.expect("an outage");
         }
@@ -72,7 +72,7 @@
         let (north, south) = (stack.calls_in("north").await, stack.calls_in("south").await);
         tokio::time::sleep(WATCH_TIME).await;
         assert_eq!(stack.calls_in("north").await.unwrap(), north.unwrap());
-        stack.wait_calls_in("south", south.unwrap()).await.expect("work in south");
+        stack.wait_more_calls_in("south", south.unwrap()).await.expect("work in south");
         traffic
     });
     let (streamed, traffic) = tokio::join!(streaming, &mut operated);
@@ -80,8 +80,8 @@
     assert!(is_complete_draft(&streamed.expect("a stream"), "long dispute"));
     stack.set_outage(None).await.expect("the platform is back");
     let north = stack.calls_in("north").await.unwrap();
-    stack.accepted(&["data-centre", "in", "north"]).await.expect("accepted");
-    stack.wait_calls_in("north", north).await.expect("work in north again");
+    stack.run_accepted_command(&["data-centre", "in", "north"]).await.expect("accepted");
+    stack.wait_more_calls_in("north", north).await.expect("work in north again");
     traffic.close().await.check(&stack).await.expect("records");
     stack.close().await.expect("a clean stop");
 }
@@ -107,7 +107,7 @@
     let mut plan = StackPlan::small(&["north", "south"], &["north"]).only_pool("work-orders");
     plan.document = plan.document.replace("concurrency = 32", "concurrency = 1");
     plan.document = plan.document.replace("cold_concurrency = 2", "cold_concurrency = 1");
-    plan.switch_pool("work-orders", |it| it.delay_ms = 700);
+    plan.change_pool_switches("work-orders", |it| it.delay_ms = 700);
     let mut stack = Stack::start(plan).await.expect("the stack starts");
     let mut requests = tokio::task::JoinSet::new();
     for number in 0..QUEUED {
@@ -121,7 +121,7 @@
     stack.wait_status(stack.entry(0), "queued requests", has_queue).await.expect("a queue");
 
     stack.upstreams[0].agent.signal(Signal::Pause).await.expect("paused");
-    stack.accepted(&["data-centre", "out", "north"]).await.expect("accepted");
+    stack.run_accepted_command(&["data-centre", "out", "north"]).await.expect("accepted");
     // Without the entry that sent them nobody cancels the queued requests.
     stack.entries.remove(0).kill().await.expect("killed");
     tokio::time::sleep(NO_NEW_WORK_AFTER).await;
--- a/crates/fakes/tests/early_refusal.rs
+++ b/crates/fakes/tests/early_refusal.rs
@@ -40,7 +40,7 @@
     assert!(answer.headers.contains_key("retry-after"));
     let request = answer.body["request_id"].as_str().expect("a request id");
     let calls = stack.calls().await.expect("the records of the upstreams");
-    assert_eq!(calls.for_request(request), 0);
+    assert_eq!(calls.count_for_request(request), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -71,7 +71,7 @@
     plan.document = plan.document.replace("cold_concurrency = 2", "cold_concurrency = 1");
     plan.document = plan.document.replace("estimate_ms = 20\n", "estimate_ms = 8000\n");
     plan.document = plan.document.replace("deadline_ms = 20000", "deadline_ms = 60000");
-    plan.switch_pool("work-orders", |it| it.delay_ms = LONG_CALL_MS);
+    plan.change_pool_switches("work-orders", |it| it.delay_ms = LONG_CALL_MS);
     let stack = Stack::start(plan).await.expect("the stack starts");
     let (caller, entry) = (stack.caller.clone(), stack.entry(0));
     let busy = tokio::spawn(async move { caller.search(entry, "busy", &[]).await });
--- a/crates/fakes/tests/leaving.rs
+++ b/crates/fakes/tests/leaving.rs
@@ -36,8 +36,8 @@
 impl Cause {
     async fn apply(self, stack: &Stack, name: &str) {
         match self {
-            Self::Command => stack.accepted(&["upstream", "leave", name]).await,
-            Self::List => stack.list_state(name, InstanceState::Leaving).await,
+            Self::Command => stack.run_accepted_command(&["upstream", "leave", name]).await,
+            Self::List => stack.set_listed_state(name, InstanceState::Leaving).await,
         }
         .expect("accepted");
     }
@@ -47,16 +47,16 @@
     let _one = ONE_STACK.lock().await;
     let mut plan = StackPlan::small(&["north", "south"], &["north", "south"]);
     plan.upstreams.retain(|it| it.name != "engines-south");
-    plan.switch_pool("engines", |it| it.token_delay_ms = 250);
+    plan.change_pool_switches("engines", |it| it.token_delay_ms = 250);
     let stack = Stack::start(plan).await.expect("the stack starts");
     let entries: Vec<SocketAddr> = stack.entries.iter().map(|it| it.address).collect();
     let caller = Caller::new("lone-star");
     let streaming = caller.pipeline_stream(entries[0], "draft", "long dispute");
     let operated = async {
-        let engine = stack.position("engines-north").expect("an engine");
+        let engine = stack.upstream_index("engines-north").expect("an engine");
         stack.wait_calls_running(engine, 1).await.expect("the stream runs in north");
         let traffic = SteadyTraffic::start(caller.clone(), entries.clone(), INTERVAL);
-        stack.wait_calls_in("north", 20).await.expect("work in north");
+        stack.wait_more_calls_in("north", 20).await.expect("work in north");
         for name in ["engines-north", "work-orders-north"] {
             cause.apply(&stack, name).await;
         }
@@ -79,7 +79,7 @@
     plan.document = plan.document.replace("concurrency = 32\ncold_concurrency = 2", limits);
     // Without the change the queue lasts beyond the time for which the calls are watched.
     plan.document = plan.document.replace("deadline_ms = 10000", "deadline_ms = 30000");
-    plan.switch_pool("work-orders", |it| it.delay_ms = 800);
+    plan.change_pool_switches("work-orders", |it| it.delay_ms = 800);
     let stack = Stack::start(plan).await.expect("the stack starts");
     let (caller, entry) = (Caller::new("lone-star"), stack.entry(0));
     let requests = join_all((0..QUEUED).map(|it| read_order(&caller, entry, it)));
--- a/crates/fakes/tests/not_run.rs
+++ b/crates/fakes/tests/not_run.rs
@@ -184,9 +184,9 @@
             }
         };
         let calm = Duration::from_millis(random.random_range(0..MAX_CALM_MS));
-        stack.switch(&stack.upstreams[number], &switched).await.expect("switches");
+        stack.set_upstream_switches(&stack.upstreams[number], &switched).await.expect("switches");
         tokio::time::sleep(calm).await;
-        stack.switch(&stack.upstreams[number], &normal).await.expect("switches");
+        stack.set_upstream_switches(&stack.upstreams[number], &normal).await.expect("switches");
     }
     faults
 }
@@ -195,7 +195,7 @@
 async fn no_refused_request_was_run() {
     let mut plan = StackPlan::short(&[("encoders", 1), ("engines", 2), ("work-orders", 1)]);
     for pool in ["encoders", "engines", "work-orders"] {
-        plan.switch_pool(pool, |it| {
+        plan.change_pool_switches(pool, |it| {
             it.delay_ms = CALL_MS;
             it.cold_calls = 4;
             it.cold_bearable = 2;
@@ -218,8 +218,8 @@
     let mut counts = [0_u32; 4];
     for told in told.into_iter().flat_map(|it| it.expect("the caller ends")) {
         counts[told.verdict.clone() as usize] += 1;
-        let runs = calls.for_request(&told.request);
-        let key_runs = told.key.as_ref().map_or(0, |it| calls.with_key(it));
+        let runs = calls.count_for_request(&told.request);
+        let key_runs = told.key.as_ref().map_or(0, |it| calls.count_for_key(it));
         assert!(key_runs <= 1, "{:?} ran {key_runs} times", told.key);
         if told.verdict != ReportedOutcome::NotRun {
             continue;
--- a/crates/fakes/tests/planned_stop.rs
+++ b/crates/fakes/tests/planned_stop.rs
@@ -31,8 +31,8 @@
     plan.upstreams.retain(|it| it.name != "engines-south");
     let limits = format!("concurrency = {concurrency}\ncold_concurrency = {concurrency}");
     plan.document = plan.document.replace("concurrency = 32\ncold_concurrency = 2", &limits);
-    plan.switch_pool("engines", |it| it.token_delay_ms = 150);
-    plan.switch_pool("work-orders", |it| it.delay_ms = delay_ms);
+    plan.change_pool_switches("engines", |it| it.token_delay_ms = 150);
+    plan.change_pool_switches("work-orders", |it| it.delay_ms = delay_ms);
     Stack::start(plan).await.expect("the stack starts")
 }
 
@@ -83,9 +83,9 @@
     // The steady traffic alone leaves it to chance whether a queue stands when the test looks.
     let burst = join_all((0..BURST).map(|it| read_order(&caller, entries[0], FIRST_OF_BURST + it)));
     let stopped = async {
-        let engine = stack.position("engines-north").expect("an engine");
+        let engine = stack.upstream_index("engines-north").expect("an engine");
         stack.wait_calls_running(engine, 1).await.expect("the stream runs");
-        let orders = stack.position("work-orders-north").expect("an upstream");
+        let orders = stack.upstream_index("work-orders-north").expect("an upstream");
         // Every call slot is taken and further calls wait in the agent.
         let has_queue = |it: &serde_json::Value| {
             let mut upstreams = it["upstreams"].as_array().into_iter().flatten();
--- a/crates/fakes/tests/poison.rs
+++ b/crates/fakes/tests/poison.rs
@@ -66,7 +66,7 @@
 
 async fn start(pools: &[(&str, usize)], poisoned: &str) -> Stack {
     let mut plan = StackPlan::short(pools);
-    plan.switch_pool(poisoned, |it| {
+    plan.change_pool_switches(poisoned, |it| {
         it.delay_ms = CALL_MS;
         it.crash_on = Some(MARKER.to_owned());
     });
--- a/crates/fakes/tests/whole_answers.rs
+++ b/crates/fakes/tests/whole_answers.rs
@@ -93,7 +93,7 @@
 
 async fn start() -> Stack {
     let mut plan = StackPlan::short(&[("encoders", 1), ("engines", 2)]);
-    plan.switch_pool("engines", |it| it.token_delay_ms = TOKEN_DELAY_MS);
+    plan.change_pool_switches("engines", |it| it.token_delay_ms = TOKEN_DELAY_MS);
     Stack::start(plan).await.expect("the stack starts")
 }
 
@@ -181,9 +181,9 @@
     let mut cut = 0;
     for round in 0..ROUNDS {
         warm_up(&stack).await;
-        stack.switch(pair, &cutting).await.expect("switches");
+        stack.set_upstream_switches(pair, &cutting).await.expect("switches");
         cut += Traffic::send(&stack, &round.to_string()).check().await.cut;
-        stack.switch(pair, &pair.plan.switches).await.expect("switches");
+        stack.set_upstream_switches(pair, &pair.plan.switches).await.expect("switches");
     }
     assert!(cut > 0, "no stream was cut");
 }
--- a/crates/fakes/tests/whole_path.rs
+++ b/crates/fakes/tests/whole_path.rs
@@ -9,7 +9,7 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn each_of_200_requests_at_once_gets_its_own_whole_answer() {
     let mut plan = StackPlan::demo();
-    plan.switch_pool("engines", |it| it.token_delay_ms = 1);
+    plan.change_pool_switches("engines", |it| it.token_delay_ms = 1);
     let stack = Stack::start(plan).await.expect("the stack starts");
     let caller = Caller::new("hill-country");
     let mut plain = Vec::new();
