--- a/crates/entry/tests/operator.rs
+++ b/crates/entry/tests/operator.rs
@@ -7,7 +7,7 @@
 use serde_json::json;
 use support::{DOCUMENT, Fixture, OTHER_DOCUMENT, digest};
 use yuccatrail_core::control::{StoredConfig, StoredOperations};
-use yuccatrail_fakes::platform::{Outage, Switches};
+use yuccatrail_fakes::platform::{Outage, PlatformSwitches};
 use yuccatrail_platform::{CURRENT, Kind};
 
 #[tokio::test]
@@ -83,7 +83,7 @@
 #[tokio::test]
 async fn concurrent_operational_changes_are_all_kept() {
     let fixture = Fixture::start().await;
-    fixture.platform.set_switches(Switches { delay_ms: 50, ..Switches::default() });
+    fixture.platform.set_switches(PlatformSwitches { delay_ms: 50, ..PlatformSwitches::default() });
     let (a, b, c) = tokio::join!(
         fixture.run(&["data-centre", "out", "--json", "east"]),
         fixture.run(&["data-centre", "out", "--json", "west"]),
@@ -105,13 +105,17 @@
 #[tokio::test]
 async fn lost_write_response_is_resolved_by_reading_back() {
     let fixture = Fixture::start().await;
-    fixture.platform.set_switches(Switches { lost_answers: 1, ..Switches::default() });
+    fixture
+        .platform
+        .set_switches(PlatformSwitches { lost_answers: 1, ..PlatformSwitches::default() });
     let file = fixture.file("a.toml", DOCUMENT);
     let result = fixture.run(&["trial", "--json", "--environment", "production", &file]).await;
     assert_eq!((result.code, &result.json["version"]), (0, &json!(1)), "{}", result.stderr);
     assert_eq!(fixture.config().await.history.len(), 1);
 
-    fixture.platform.set_switches(Switches { lost_answers: 1, ..Switches::default() });
+    fixture
+        .platform
+        .set_switches(PlatformSwitches { lost_answers: 1, ..PlatformSwitches::default() });
     let result = fixture.run(&["data-centre", "out", "--json", "east"]).await;
     assert_eq!((result.code, &result.json["version"]), (0, &json!(2)), "{}", result.stderr);
     assert_eq!(fixture.operations().await.history.len(), 1);
@@ -124,7 +128,9 @@
     let fixture = Fixture::start().await;
     let file = fixture.file("a.toml", DOCUMENT);
     for outage in [Outage::Unavailable, Outage::Error, Outage::Reset, Outage::Hang] {
-        fixture.platform.set_switches(Switches { outage: Some(outage), ..Switches::default() });
+        fixture
+            .platform
+            .set_switches(PlatformSwitches { outage: Some(outage), ..PlatformSwitches::default() });
         for command in [
             &["trial", "--json", "--timeout-ms", "500", &file][..],
             &["promote", "--json", "--timeout-ms", "500", "--digest", &digest(DOCUMENT)],
@@ -145,20 +151,21 @@
 #[tokio::test]
 async fn change_is_undecided_when_lost_write_cannot_be_read_back() {
     let fixture = Fixture::start().await;
-    let lossy = Switches { lost_answers: 1, delay_ms: 300, ..Switches::default() };
+    let lossy = PlatformSwitches { lost_answers: 1, delay_ms: 300, ..PlatformSwitches::default() };
     fixture.platform.set_switches(lossy);
     let command = ["data-centre", "out", "--json", "--timeout-ms", "2000", "east"];
     let outage = async {
         while fixture.platform.counters().effects == 0 {
             tokio::time::sleep(Duration::from_millis(5)).await;
         }
-        let down = Switches { outage: Some(Outage::Unavailable), ..Switches::default() };
+        let down =
+            PlatformSwitches { outage: Some(Outage::Unavailable), ..PlatformSwitches::default() };
         fixture.platform.set_switches(down);
     };
     let (result, ()) = tokio::join!(fixture.run(&command), outage);
     assert_eq!((result.code, &result.json["outcome"]), (5, &json!("undecided")));
 
-    fixture.platform.set_switches(Switches::default());
+    fixture.platform.set_switches(PlatformSwitches::default());
     let again = fixture.run(&command).await;
     assert_eq!((again.code, &again.json["outcome"]), (0, &json!("already_in_force")));
     fixture.close().await;
@@ -241,7 +248,7 @@
     let confirmed = json!({ "outcome": "accepted", "version": 2, "entries": 1 });
     assert_eq!((result.code, result.json), (0, confirmed), "{}", result.stderr);
 
-    let down = Switches { outage: Some(Outage::Reset), ..Switches::default() };
+    let down = PlatformSwitches { outage: Some(Outage::Reset), ..PlatformSwitches::default() };
     fixture.platform.set_switches(down);
     let status = fixture.run(&["status", "--json", "--entry", &entry.address.to_string()]).await;
     assert_eq!(status.code, 4);
--- a/crates/entry/tests/support/mod.rs
+++ b/crates/entry/tests/support/mod.rs
@@ -20,7 +20,7 @@
     routing::LoadReport,
 };
 use yuccatrail_fakes::{
-    platform::{FakePlatform, FakeSettings},
+    platform::{FakePlatform, FakePlatformSettings},
     stack::process::Process,
 };
 use yuccatrail_platform::{CURRENT, Client, ClientSettings, Kind};
@@ -59,7 +59,7 @@
 
 impl Fixture {
     pub(crate) async fn start() -> Self {
-        let platform = FakePlatform::start(FakeSettings::default()).await.unwrap();
+        let platform = FakePlatform::start(FakePlatformSettings::default()).await.unwrap();
         let number = NEXT_DIRECTORY_NUMBER.fetch_add(1, Ordering::Relaxed);
         let directory = PathBuf::from(env!("CARGO_TARGET_TMPDIR"))
             .join(format!("operator-{}-{number}", std::process::id()));
--- a/crates/fakes/src/capacity/calls.rs
+++ b/crates/fakes/src/capacity/calls.rs
@@ -11,7 +11,7 @@
 use crate::{
     bench::{closed_loop, direct},
     stack::{plan::DEMO_DOCUMENT, run::StackError},
-    upstream::state::Switches,
+    upstream::state::UpstreamSwitches,
 };
 
 /// Agents of the rig, two for each pool.
@@ -109,7 +109,8 @@
 }
 
 async fn token_slopes(rig: &Rig, idle: Reading) -> Result<[Slope; 3], StackError> {
-    let switches = Switches { token_delay_ms: TOKEN_DELAY_MS, ..Switches::default() };
+    let switches =
+        UpstreamSwitches { token_delay_ms: TOKEN_DELAY_MS, ..UpstreamSwitches::default() };
     let body = json!(switches).to_string();
     rig.caller.send(rig.upstream.address, "POST", "/fake/switches", &[], body).await?;
     let mut bytes = Vec::new();
--- a/crates/fakes/src/commands/platform.rs
+++ b/crates/fakes/src/commands/platform.rs
@@ -3,7 +3,7 @@
 use std::{net::SocketAddr, path::PathBuf, process::ExitCode};
 
 use bpaf::{Parser, construct, long};
-use yuccatrail_fakes::platform::{FakePlatform, FakeSettings, Seed, SeedError};
+use yuccatrail_fakes::platform::{FakePlatform, FakePlatformSettings, Seed, SeedError};
 use yuccatrail_runtime::shutdown;
 
 /// Arguments of the subcommand.
@@ -37,7 +37,8 @@
             return ExitCode::FAILURE;
         }
     };
-    let settings = FakeSettings { listen: arguments.listen, ..FakeSettings::default() };
+    let settings =
+        FakePlatformSettings { listen: arguments.listen, ..FakePlatformSettings::default() };
     let platform = match FakePlatform::start(settings).await {
         Ok(platform) => platform,
         Err(error) => {
--- a/crates/fakes/src/commands/upstream.rs
+++ b/crates/fakes/src/commands/upstream.rs
@@ -6,7 +6,7 @@
 use tokio::net::TcpListener;
 use yuccatrail_fakes::upstream::{
     server,
-    state::{Switches, Upstream},
+    state::{Upstream, UpstreamSwitches},
 };
 use yuccatrail_runtime::shutdown;
 
@@ -14,7 +14,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Arguments {
     listen: SocketAddr,
-    switches: Switches,
+    switches: UpstreamSwitches,
 }
 
 /// Parses the arguments.
@@ -23,8 +23,8 @@
     let switches = long("switches")
         .help("Initial switches as JSON")
         .argument::<String>("JSON")
-        .parse(|text| serde_json::from_str::<Switches>(&text))
-        .fallback(Switches::default());
+        .parse(|text| serde_json::from_str::<UpstreamSwitches>(&text))
+        .fallback(UpstreamSwitches::default());
     construct!(Arguments { listen, switches })
 }
 
--- a/crates/fakes/src/platform/admin.rs
+++ b/crates/fakes/src/platform/admin.rs
@@ -5,7 +5,7 @@
 use serde_json::json;
 
 use super::{
-    Switches,
+    PlatformSwitches,
     server::Shared,
     status::{Body, failure, json_response},
 };
@@ -40,7 +40,7 @@
             return failure(StatusCode::BAD_REQUEST, "BadRequest", &error.to_string());
         }
     };
-    match serde_json::from_slice::<Switches>(&body) {
+    match serde_json::from_slice::<PlatformSwitches>(&body) {
         Ok(switches) => {
             shared.switches.send_replace(switches.clone());
             json_response(StatusCode::OK, &json!(switches))
--- a/crates/fakes/src/platform/api.rs
+++ b/crates/fakes/src/platform/api.rs
@@ -14,8 +14,8 @@
 use super::{
     Outage,
     server::Shared,
-    status::{Body, Cut, failure, json_response, refused, retry_later},
-    store::{Collection, Refusal},
+    status::{Body, ConnectionAbort, failure, json_response, refused, retry_later},
+    store::{Collection, StoreError},
     watch,
 };
 
@@ -32,14 +32,14 @@
 pub(crate) async fn handle(
     shared: Arc<Shared>,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, ConnectionAbort> {
     let delay_ms = shared.switches.borrow().delay_ms;
     tokio::time::sleep(Duration::from_millis(delay_ms)).await;
     let outage = shared.switches.borrow().outage;
     match outage {
         Some(Outage::Unavailable) => return Ok(unavailable()),
         Some(Outage::Error) => return Ok(internal_error()),
-        Some(Outage::Reset) => return Err(Cut::Switched),
+        Some(Outage::Reset) => return Err(ConnectionAbort::Requested),
         Some(Outage::Hang) => std::future::pending::<()>().await,
         None => {}
     }
@@ -48,7 +48,7 @@
         let message = "the rate of calls exceeds the limit";
         return Ok(retry_later(StatusCode::TOO_MANY_REQUESTS, "TooManyRequests", message));
     }
-    let Some(target) = target(request.uri().path()) else {
+    let Some(target) = parse_target(request.uri().path()) else {
         return Ok(failure(StatusCode::NOT_FOUND, "BadRequest", "unknown path"));
     };
     match call {
@@ -97,7 +97,7 @@
     admitted.is_some()
 }
 
-fn target(path: &str) -> Option<Target> {
+fn parse_target(path: &str) -> Option<Target> {
     let rest = path.strip_prefix("/apis/")?.strip_prefix(API_VERSION)?;
     let rest = rest.strip_prefix("/namespaces/")?;
     let parts: Vec<&str> = rest.split('/').collect();
@@ -112,7 +112,7 @@
 }
 
 fn read(shared: &Shared, target: &Target) -> Response<Body> {
-    let as_of = shared.lagging_now();
+    let as_of = shared.lagging_view_time();
     let state = shared.state();
     let Some(name) = &target.name else {
         let (version, items) = state.store.list(&target.collection, as_of);
@@ -126,7 +126,7 @@
     };
     match state.store.get(&target.collection, name, as_of) {
         Some(object) => json_response(StatusCode::OK, &object),
-        None => refused(Refusal::NotFound, name),
+        None => refused(StoreError::NotFound, name),
     }
 }
 
@@ -134,7 +134,7 @@
     shared: &Shared,
     target: &Target,
     request: Request<Incoming>,
-) -> Result<Response<Body>, Cut> {
+) -> Result<Response<Body>, ConnectionAbort> {
     let method = request.method().clone();
     let body = match Limited::new(request.into_body(), MAX_BODY_BYTES).collect().await {
         Ok(body) => body.to_bytes(),
@@ -144,8 +144,8 @@
         return Ok(too_large());
     }
     let response = apply(shared, target, &method, &body);
-    if response.status().is_success() && take_lost_answer(shared) {
-        return Err(Cut::Switched);
+    if response.status().is_success() && take_lost_response(shared) {
+        return Err(ConnectionAbort::Requested);
     }
     Ok(response)
 }
@@ -156,7 +156,7 @@
 }
 
 /// Takes one answer off the number that is to be lost.
-fn take_lost_answer(shared: &Shared) -> bool {
+fn take_lost_response(shared: &Shared) -> bool {
     let mut taken = false;
     shared.switches.send_if_modified(|switches| {
         taken = switches.lost_answers > 0;
--- a/crates/fakes/src/platform/mod.rs
+++ b/crates/fakes/src/platform/mod.rs
@@ -14,5 +14,5 @@
 mod watch;
 
 pub use seed::{Seed, SeedError};
-pub use server::{FakePlatform, FakeSettings};
-pub use switches::{Counters, Outage, Switches};
+pub use server::{FakePlatform, FakePlatformSettings};
+pub use switches::{Counters, Outage, PlatformSwitches};
--- a/crates/fakes/src/platform/server.rs
+++ b/crates/fakes/src/platform/server.rs
@@ -19,14 +19,14 @@
 use yuccatrail_platform::{API_VERSION, Kind, TokenBucket};
 
 use super::{
-    Counters, Seed, Switches, admin, api,
-    status::{Body, Cut},
+    Counters, PlatformSwitches, Seed, admin, api,
+    status::{Body, ConnectionAbort},
     store::{Collection, Store},
 };
 
 /// Settings of the stand-in.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct FakeSettings {
+pub struct FakePlatformSettings {
     /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
     /// Reads and lists that are answered, in calls per second.
@@ -35,7 +35,7 @@
     pub writes_per_second: f64,
 }
 
-impl Default for FakeSettings {
+impl Default for FakePlatformSettings {
     fn default() -> Self {
         Self {
             listen: SocketAddr::from((Ipv4Addr::LOCALHOST, 0)),
@@ -58,7 +58,7 @@
 #[derive(Debug)]
 pub(crate) struct Shared {
     state: Mutex<State>,
-    pub(crate) switches: watch::Sender<Switches>,
+    pub(crate) switches: watch::Sender<PlatformSwitches>,
     /// Version of the newest change, which wakes watches.
     pub(crate) newest: watch::Sender<u64>,
 }
@@ -79,7 +79,7 @@
     }
 
     /// Returns the moment that a lagging view shows now.
-    pub(crate) fn lagging_now(&self) -> Instant {
+    pub(crate) fn lagging_view_time(&self) -> Instant {
         let lag = Duration::from_millis(self.switches.borrow().instances_lag_ms);
         let now = Instant::now();
         now.checked_sub(lag).unwrap_or(now)
@@ -92,7 +92,7 @@
     /// # Errors
     ///
     /// Returns an error when the address cannot be bound.
-    pub async fn start(settings: FakeSettings) -> io::Result<Self> {
+    pub async fn start(settings: FakePlatformSettings) -> io::Result<Self> {
         let listener = TcpListener::bind(settings.listen).await?;
         let address = listener.local_addr()?;
         let now = Instant::now();
@@ -104,7 +104,7 @@
         };
         let shared = Arc::new(Shared {
             state: Mutex::new(state),
-            switches: watch::Sender::new(Switches::default()),
+            switches: watch::Sender::new(PlatformSwitches::default()),
             newest: watch::Sender::new(0),
         });
         let cancel = CancellationToken::new();
@@ -155,12 +155,12 @@
     }
 
     /// Returns the switches as they stand.
-    pub fn switches(&self) -> Switches {
+    pub fn switches(&self) -> PlatformSwitches {
         self.shared.switches.borrow().clone()
     }
 
     /// Replaces all switches.
-    pub fn set_switches(&self, switches: Switches) {
+    pub fn set_switches(&self, switches: PlatformSwitches) {
         self.shared.switches.send_replace(switches);
     }
 
@@ -213,7 +213,10 @@
     }
 }
 
-async fn handle(shared: Arc<Shared>, request: Request<Incoming>) -> Result<Response<Body>, Cut> {
+async fn handle(
+    shared: Arc<Shared>,
+    request: Request<Incoming>,
+) -> Result<Response<Body>, ConnectionAbort> {
     if request.uri().path().starts_with(admin::PREFIX) {
         return Ok(admin::handle(&shared, request).await);
     }
--- a/crates/fakes/src/platform/status.rs
+++ b/crates/fakes/src/platform/status.rs
@@ -10,18 +10,18 @@
 };
 use serde_json::{Value, json};
 
-use super::store::Refusal;
+use super::store::StoreError;
 
 /// Why the stand-in closes a connection instead of answering.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error)]
-pub(crate) enum Cut {
+pub(crate) enum ConnectionAbort {
     /// A switch asks for it.
     #[display("connection closed by a switch")]
-    Switched,
+    Requested,
 }
 
 /// Body of an answer.
-pub(crate) type Body = UnsyncBoxBody<Bytes, Cut>;
+pub(crate) type Body = UnsyncBoxBody<Bytes, ConnectionAbort>;
 
 /// Answers with a JSON value.
 pub(crate) fn json_response(code: StatusCode, value: &Value) -> Response<Body> {
@@ -31,7 +31,7 @@
 
 /// Answers with a stream of lines.
 pub(crate) fn stream_response(
-    lines: impl futures::Stream<Item = Result<Bytes, Cut>> + Send + 'static,
+    lines: impl futures::Stream<Item = Result<Bytes, ConnectionAbort>> + Send + 'static,
 ) -> Response<Body> {
     let body = StreamBody::new(lines.map_ok(Frame::data));
     with_content_type(StatusCode::OK, body.boxed_unsync())
@@ -50,17 +50,17 @@
 }
 
 /// Answers a write that the store refused.
-pub(crate) fn refused(refusal: Refusal, object: &str) -> Response<Body> {
+pub(crate) fn refused(refusal: StoreError, object: &str) -> Response<Body> {
     match refusal {
-        Refusal::AlreadyExists => {
+        StoreError::AlreadyExists => {
             let message = format!("{object} already exists");
             failure(StatusCode::CONFLICT, "AlreadyExists", &message)
         }
-        Refusal::Conflict => {
+        StoreError::Conflict => {
             let message = format!("{object} has been modified; read the latest version");
             failure(StatusCode::CONFLICT, "Conflict", &message)
         }
-        Refusal::NotFound => {
+        StoreError::NotFound => {
             failure(StatusCode::NOT_FOUND, "NotFound", &format!("{object} not found"))
         }
     }
--- a/crates/fakes/src/platform/store.rs
+++ b/crates/fakes/src/platform/store.rs
@@ -24,7 +24,7 @@
 
 impl Collection {
     /// Tells whether the collection shows the platform's lagging view of the fleet.
-    pub(crate) fn lags(&self) -> bool {
+    pub(crate) fn is_lagging(&self) -> bool {
         self.plural == "instances"
     }
 }
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub(crate) version: u64,
-    pub(crate) at: Instant,
+    pub(crate) changed_at: Instant,
     pub(crate) collection: Collection,
     pub(crate) kind: ChangeKind,
     /// The whole object; a deleted one in its last state, with the version of the deletion.
@@ -50,7 +50,7 @@
 
 /// Why a write was refused.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Refusal {
+pub(crate) enum StoreError {
     AlreadyExists,
     Conflict,
     NotFound,
@@ -61,7 +61,7 @@
 /// State of a lagging collection after one change.
 #[derive(Debug)]
 struct Snapshot {
-    at: Instant,
+    changed_at: Instant,
     version: u64,
     objects: Objects,
 }
@@ -71,7 +71,7 @@
 pub(crate) struct Store {
     version: u64,
     /// Version of the newest change that is no longer in `history`.
-    compacted: u64,
+    compacted_version: u64,
     collections: BTreeMap<Collection, Objects>,
     history: VecDeque<Change>,
     snapshots: BTreeMap<Collection, VecDeque<Snapshot>>,
@@ -93,7 +93,7 @@
     pub(crate) fn list(&self, collection: &Collection, as_of: Instant) -> (u64, Vec<Value>) {
         match self.view(collection, as_of) {
             Some((version, objects)) => (version, objects.values().cloned().collect()),
-            None if collection.lags() => (self.compacted, Vec::new()),
+            None if collection.is_lagging() => (self.compacted_version, Vec::new()),
             None => (self.version, Vec::new()),
         }
     }
@@ -105,9 +105,9 @@
         name: &str,
         object: Value,
         now: Instant,
-    ) -> Result<Value, Refusal> {
+    ) -> Result<Value, StoreError> {
         if self.current(collection, name).is_some() {
-            return Err(Refusal::AlreadyExists);
+            return Err(StoreError::AlreadyExists);
         }
         Ok(self.put(collection, name, object, ChangeKind::Added, now))
     }
@@ -120,7 +120,7 @@
         from: Option<&str>,
         object: Value,
         now: Instant,
-    ) -> Result<Value, Refusal> {
+    ) -> Result<Value, StoreError> {
         self.check_version(collection, name, from)?;
         Ok(self.put(collection, name, object, ChangeKind::Modified, now))
     }
@@ -132,11 +132,11 @@
         name: &str,
         from: Option<&str>,
         now: Instant,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), StoreError> {
         self.check_version(collection, name, from)?;
         let objects = self.collections.entry(collection.clone()).or_default();
         let Some(mut object) = objects.remove(name) else {
-            return Err(Refusal::NotFound);
+            return Err(StoreError::NotFound);
         };
         self.version += 1;
         set_version(&mut object, self.version);
@@ -145,8 +145,8 @@
     }
 
     /// Tells whether every change after `version` is still held.
-    pub(crate) fn holds_changes_since(&self, version: u64) -> bool {
-        version >= self.compacted
+    pub(crate) fn retains_changes_since(&self, version: u64) -> bool {
+        version >= self.compacted_version
     }
 
     /// Returns the first change of a collection after `version`.
@@ -158,7 +158,7 @@
     /// Forgets the history, so that no watch can be resumed from an older version.
     pub(crate) fn compact(&mut self) {
         self.history.clear();
-        self.compacted = self.version;
+        self.compacted_version = self.version;
     }
 
     fn current(&self, collection: &Collection, name: &str) -> Option<&Value> {
@@ -167,11 +167,11 @@
 
     /// Returns a collection, for a lagging one as it stood at `as_of`.
     fn view(&self, collection: &Collection, as_of: Instant) -> Option<(u64, &Objects)> {
-        if !collection.lags() {
+        if !collection.is_lagging() {
             return Some((self.version, self.collections.get(collection)?));
         }
         let snapshots = self.snapshots.get(collection)?;
-        let snapshot = snapshots.iter().rev().find(|it| it.at <= as_of)?;
+        let snapshot = snapshots.iter().rev().find(|it| it.changed_at <= as_of)?;
         Some((snapshot.version, &snapshot.objects))
     }
 
@@ -180,12 +180,14 @@
         collection: &Collection,
         name: &str,
         from: Option<&str>,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), StoreError> {
         let Some(object) = self.current(collection, name) else {
-            return Err(Refusal::NotFound);
+            return Err(StoreError::NotFound);
         };
         match from {
-            Some(from) if object["metadata"]["resourceVersion"] != *from => Err(Refusal::Conflict),
+            Some(from) if object["metadata"]["resourceVersion"] != *from => {
+                Err(StoreError::Conflict)
+            }
             _ => Ok(()),
         }
     }
@@ -209,20 +211,23 @@
     fn record(&mut self, collection: &Collection, kind: ChangeKind, object: Value, now: Instant) {
         let collection = collection.clone();
         let version = self.version;
-        if collection.lags() {
-            self.keep_snapshot(&collection, now);
+        if collection.is_lagging() {
+            self.add_snapshot(&collection, now);
         }
-        self.history.push_back(Change { version, at: now, collection, kind, object });
+        self.history.push_back(Change { version, changed_at: now, collection, kind, object });
         while self.history.len() > HISTORY_CHANGES {
-            self.compacted = self.history.pop_front().map_or(self.compacted, |it| it.version);
+            self.compacted_version =
+                self.history.pop_front().map_or(self.compacted_version, |it| it.version);
         }
     }
 
-    fn keep_snapshot(&mut self, collection: &Collection, now: Instant) {
+    fn add_snapshot(&mut self, collection: &Collection, now: Instant) {
         let objects = self.collections.get(collection).cloned().unwrap_or_default();
         let snapshots = self.snapshots.entry(collection.clone()).or_default();
-        snapshots.push_back(Snapshot { at: now, version: self.version, objects });
-        while snapshots.len() > 1 && now.duration_since(snapshots[1].at) > SNAPSHOT_RETENTION {
+        snapshots.push_back(Snapshot { changed_at: now, version: self.version, objects });
+        while snapshots.len() > 1
+            && now.duration_since(snapshots[1].changed_at) > SNAPSHOT_RETENTION
+        {
             snapshots.pop_front();
         }
     }
--- a/crates/fakes/src/platform/switches.rs
+++ b/crates/fakes/src/platform/switches.rs
@@ -19,7 +19,7 @@
 /// Faults that are switched on; the default is none.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Switches {
+pub struct PlatformSwitches {
     /// Makes every call fail without effect and ends open watches.
     pub outage: Option<Outage>,
     /// Delay before each call is handled, in milliseconds.
--- a/crates/fakes/src/platform/watch.rs
+++ b/crates/fakes/src/platform/watch.rs
@@ -10,9 +10,9 @@
 use yuccatrail_platform::API_VERSION;
 
 use super::{
-    Switches,
+    PlatformSwitches,
     server::Shared,
-    status::{Body, Cut, failure, status_value, stream_response},
+    status::{Body, ConnectionAbort, failure, status_value, stream_response},
     store::{Change, ChangeKind, Collection},
 };
 
@@ -20,21 +20,21 @@
 const DEFAULT_TIMEOUT_S: u64 = 30;
 
 /// Progress of one watch.
-struct Progress {
+struct WatchProgress {
     shared: Arc<Shared>,
     collection: Collection,
     /// Version up to which every change was delivered.
     version: u64,
     end: Instant,
-    ended: bool,
+    is_finished: bool,
     newest: watch::Receiver<u64>,
-    switches: watch::Receiver<Switches>,
+    switches: watch::Receiver<PlatformSwitches>,
 }
 
 /// What a watch does next.
-enum Step {
+enum WatchStep {
     Deliver(Value),
-    Cut,
+    Abort,
     End,
     WaitUntil(Instant),
 }
@@ -46,19 +46,19 @@
     query: Option<&str>,
 ) -> Response<Body> {
     let query = query.unwrap_or_default();
-    let Some(version) = number(query, "resourceVersion") else {
+    let Some(version) = parse_number(query, "resourceVersion") else {
         let message = "resourceVersion is missing or not a version of this store";
         return failure(StatusCode::BAD_REQUEST, "BadRequest", message);
     };
-    if !shared.state().store.holds_changes_since(version) {
+    if !shared.state().store.retains_changes_since(version) {
         return failure(StatusCode::GONE, "Expired", "the requested version is too old");
     }
-    let timeout_s = number(query, "timeoutSeconds").unwrap_or(DEFAULT_TIMEOUT_S);
-    let progress = Progress {
+    let timeout_s = parse_number(query, "timeoutSeconds").unwrap_or(DEFAULT_TIMEOUT_S);
+    let progress = WatchProgress {
         collection,
         version,
         end: Instant::now() + Duration::from_secs(timeout_s),
-        ended: false,
+        is_finished: false,
         newest: shared.newest.subscribe(),
         switches: shared.switches.subscribe(),
         shared,
@@ -77,75 +77,77 @@
     None
 }
 
-fn number(query: &str, name: &str) -> Option<u64> {
+fn parse_number(query: &str, name: &str) -> Option<u64> {
     parameter(query, name)?.parse().ok()
 }
 
-async fn next_line(mut progress: Progress) -> Option<(Result<Bytes, Cut>, Progress)> {
-    if progress.ended {
+async fn next_line(
+    mut progress: WatchProgress,
+) -> Option<(Result<Bytes, ConnectionAbort>, WatchProgress)> {
+    if progress.is_finished {
         return None;
     }
     loop {
         match progress.step() {
-            Step::Deliver(event) => {
+            WatchStep::Deliver(event) => {
                 let line = Bytes::from(format!("{event}\n"));
                 return Some((Ok(line), progress));
             }
-            Step::Cut => {
-                progress.ended = true;
-                return Some((Err(Cut::Switched), progress));
+            WatchStep::Abort => {
+                progress.is_finished = true;
+                return Some((Err(ConnectionAbort::Requested), progress));
             }
-            Step::End => return None,
-            Step::WaitUntil(until) => progress.wait(until).await,
+            WatchStep::End => return None,
+            WatchStep::WaitUntil(until) => progress.wait(until).await,
         }
     }
 }
 
-impl Progress {
+impl WatchProgress {
     /// Decides what comes next from the switches, the clock and the store.
-    fn step(&mut self) -> Step {
+    fn step(&mut self) -> WatchStep {
         let switches = self.switches.borrow_and_update().clone();
         self.newest.mark_unchanged();
         let now = Instant::now();
         if switches.outage.is_some() {
-            return Step::Cut;
+            return WatchStep::Abort;
         }
         if switches.silent_watches {
-            return if now >= self.end { Step::End } else { Step::WaitUntil(self.end) };
+            return if now >= self.end { WatchStep::End } else { WatchStep::WaitUntil(self.end) };
         }
-        let lag = match self.collection.lags() {
+        let lag = match self.collection.is_lagging() {
             true => Duration::from_millis(switches.instances_lag_ms),
             false => Duration::ZERO,
         };
         self.next_change(now, lag)
     }
 
-    fn next_change(&mut self, now: Instant, lag: Duration) -> Step {
+    fn next_change(&mut self, now: Instant, lag: Duration) -> WatchStep {
         let shared = Arc::clone(&self.shared);
         let state = shared.state();
-        if !state.store.holds_changes_since(self.version) {
-            self.ended = true;
+        if !state.store.retains_changes_since(self.version) {
+            self.is_finished = true;
             let message = "the changes that the watch needs are no longer held";
             let status = status_value(StatusCode::GONE, "Expired", message);
-            return Step::Deliver(json!({ "type": "ERROR", "object": status }));
+            return WatchStep::Deliver(json!({ "type": "ERROR", "object": status }));
         }
         let Some(change) = state.store.change_after(&self.collection, self.version) else {
             if now < self.end {
-                return Step::WaitUntil(self.end);
+                return WatchStep::WaitUntil(self.end);
             }
             // The bookmark lets the next watch skip the changes of other collections.
-            self.ended = true;
-            return Step::Deliver(bookmark(state.store.version()));
+            self.is_finished = true;
+            return WatchStep::Deliver(bookmark(state.store.version()));
         };
-        let visible_at = Instant::from_std(change.at) + lag;
+        let visible_at = Instant::from_std(change.changed_at) + lag;
         if now >= visible_at {
             self.version = change.version;
-            return Step::Deliver(event(change));
+            return WatchStep::Deliver(event(change));
         }
         if now >= self.end {
-            return Step::End;
+            return WatchStep::End;
         }
-        Step::WaitUntil(visible_at.min(self.end))
+        WatchStep::WaitUntil(visible_at.min(self.end))
     }
 
     async fn wait(&mut self, until: Instant) {
--- a/crates/fakes/src/scenarios/drive.rs
+++ b/crates/fakes/src/scenarios/drive.rs
@@ -174,7 +174,10 @@
         Ok(())
     }
 
-    async fn switch_platform(&self, switches: &platform::Switches) -> Result<(), StackError> {
+    async fn switch_platform(
+        &self,
+        switches: &platform::PlatformSwitches,
+    ) -> Result<(), StackError> {
         let body = serde_json::to_vec(switches).unwrap_or_default();
         let address = self.stack.platform.address;
         self.stack.caller.send(address, "PUT", "/fake/switches", &[], body).await?;
--- a/crates/fakes/src/scenarios/list.rs
+++ b/crates/fakes/src/scenarios/list.rs
@@ -8,7 +8,7 @@
     },
     platform,
     stack::plan::{DEMO_DOCUMENT, StackPlan},
-    upstream::state::Switches,
+    upstream::state::UpstreamSwitches,
 };
 
 /// Time that each call takes at a stand-in, in milliseconds.
@@ -77,7 +77,7 @@
 }
 
 fn slow_stage() -> Scenario {
-    let slow = Switches { delay_ms: SLOW_DELAY_MS, ..Switches::default() };
+    let slow = UpstreamSwitches { delay_ms: SLOW_DELAY_MS, ..UpstreamSwitches::default() };
     let action = Action::Switch { pool: "rerankers", count: 1, switches: slow };
     let events = vec![Event::new(1_500, action)];
     scenario("slow-stage", MORE_UPSTREAMS, vec![phase(7.0, STEADY_RATE)], events)
@@ -102,7 +102,10 @@
 }
 
 fn platform_down(name: &'static str, outage: platform::Outage) -> Scenario {
-    let down = platform::Switches { outage: Some(outage), ..platform::Switches::default() };
+    let down = platform::PlatformSwitches {
+        outage: Some(outage),
+        ..platform::PlatformSwitches::default()
+    };
     let events = vec![Event::new(0, Action::Platform(down))];
     scenario(name, UPSTREAMS, vec![phase(6.0, STEADY_RATE)], events)
 }
--- a/crates/fakes/src/scenarios/observe.rs
+++ b/crates/fakes/src/scenarios/observe.rs
@@ -4,14 +4,14 @@
 
 use crate::{
     stack::run::{Stack, StackError},
-    upstream::state::Record,
+    upstream::state::UpstreamRecord,
 };
 
 /// Records of one upstream: those of ended processes and that of the running one.
 #[derive(Clone, Debug, Default)]
 struct History {
-    ended: Vec<Record>,
-    latest: Option<Record>,
+    ended: Vec<UpstreamRecord>,
+    latest: Option<UpstreamRecord>,
 }
 
 /// Records of all upstreams.
@@ -84,7 +84,7 @@
 }
 
 impl Totals {
-    fn add(&mut self, record: &Record) {
+    fn add(&mut self, record: &UpstreamRecord) {
         self.calls += record.calls;
         self.peak = self.peak.max(record.peak);
         self.cold_peak = self.cold_peak.max(record.cold_peak);
--- a/crates/fakes/src/scenarios/scenario.rs
+++ b/crates/fakes/src/scenarios/scenario.rs
@@ -39,7 +39,7 @@
     /// Operators bring a data centre back.
     DataCentreIn(&'static str),
     /// The platform's faults change.
-    Platform(platform::Switches),
+    Platform(platform::PlatformSwitches),
     /// Upstreams of a pool change their behaviour.
     Switch {
         /// The pool.
@@ -47,7 +47,7 @@
         /// Number of upstreams that change.
         count: usize,
         /// Their new behaviour.
-        switches: upstream::state::Switches,
+        switches: upstream::state::UpstreamSwitches,
     },
     /// All upstreams of a pool turn cold.
     TurnCold(&'static str),
--- a/crates/fakes/src/stack/faults.rs
+++ b/crates/fakes/src/stack/faults.rs
@@ -12,7 +12,7 @@
     process::{Process, ProcessError, Signal},
     run::{Stack, StackError, start_agent, start_entry_listening_at, start_upstream},
 };
-use crate::{platform, upstream::server::CALL_LINE};
+use crate::{platform, upstream::server::CALL_LINE_PREFIX};
 
 /// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
@@ -44,7 +44,8 @@
     }
 
     fn add(&mut self, line: &str) {
-        let Some((request, key)) = line.strip_prefix(CALL_LINE).and_then(|it| it.split_once(' '))
+        let Some((request, key)) =
+            line.strip_prefix(CALL_LINE_PREFIX).and_then(|it| it.split_once(' '))
         else {
             return;
         };
@@ -204,7 +205,7 @@
     /// Returns an error when the stand-in does not answer.
     pub async fn set_platform_switches(
         &self,
-        switches: &platform::Switches,
+        switches: &platform::PlatformSwitches,
     ) -> Result<(), StackError> {
         let body = serde_json::to_vec(switches).unwrap_or_default();
         self.caller.send(self.platform.address, "PUT", "/fake/switches", &[], body).await?;
@@ -279,7 +280,7 @@
 
 fn call_lines(process: &Process) -> Vec<String> {
     let log = process.log.lock().unwrap_or_else(PoisonError::into_inner);
-    log.iter().filter(|it| it.starts_with(CALL_LINE)).cloned().collect()
+    log.iter().filter(|it| it.starts_with(CALL_LINE_PREFIX)).cloned().collect()
 }
 
 async fn kill(process: &mut Process) -> Result<(), StackError> {
--- a/crates/fakes/src/stack/operator.rs
+++ b/crates/fakes/src/stack/operator.rs
@@ -14,8 +14,8 @@
     run::{ENVIRONMENT, Stack, StackError, entry_instance},
 };
 use crate::{
-    platform::{Outage, Switches},
-    upstream::state::Switches as UpstreamSwitches,
+    platform::{Outage, PlatformSwitches},
+    upstream::state::UpstreamSwitches,
 };
 
 /// Time between two checks of a condition.
@@ -134,7 +134,7 @@
     ///
     /// Returns an error when the platform stand-in does not answer.
     pub async fn set_outage(&self, outage: Option<Outage>) -> Result<(), StackError> {
-        let switches = Switches { outage, ..Switches::default() };
+        let switches = PlatformSwitches { outage, ..PlatformSwitches::default() };
         let body = serde_json::to_vec(&switches).unwrap_or_default();
         self.caller.send(self.platform.address, "PUT", "/fake/switches", &[], body).await?;
         Ok(())
--- a/crates/fakes/src/stack/plan.rs
+++ b/crates/fakes/src/stack/plan.rs
@@ -2,7 +2,7 @@
 
 use yuccatrail_core::document::PoolKind;
 
-use crate::upstream::state::Switches;
+use crate::upstream::state::UpstreamSwitches;
 
 /// Data centres of every stack.
 pub const DATA_CENTRES: [&str; 2] = ["north", "south"];
@@ -32,7 +32,7 @@
     /// Data centre.
     pub data_centre: String,
     /// Behaviour of the stand-in.
-    pub switches: Switches,
+    pub switches: UpstreamSwitches,
 }
 
 /// The four-stage document that demonstrations and tests use.
@@ -76,7 +76,7 @@
                     name: format!("{pool}-{number}"),
                     pool: (*pool).to_owned(),
                     data_centre: data_centres[number % data_centres.len()].to_owned(),
-                    switches: Switches { log_calls: true, ..Switches::default() },
+                    switches: UpstreamSwitches { log_calls: true, ..UpstreamSwitches::default() },
                 });
             }
         }
@@ -85,7 +85,7 @@
     }
 
     /// Applies a change to the switches of every upstream of a pool.
-    pub fn change_pool_switches(&mut self, pool: &str, change: impl Fn(&mut Switches)) {
+    pub fn change_pool_switches(&mut self, pool: &str, change: impl Fn(&mut UpstreamSwitches)) {
         for upstream in &mut self.upstreams {
             if upstream.pool == pool {
                 change(&mut upstream.switches);
@@ -101,7 +101,7 @@
             name: format!("{pool}-{number}"),
             pool: pool.to_owned(),
             data_centre: data_centre(number).to_owned(),
-            switches: Switches::default(),
+            switches: UpstreamSwitches::default(),
         }
     }
 }
--- a/crates/fakes/src/stack/run.rs
+++ b/crates/fakes/src/stack/run.rs
@@ -17,7 +17,7 @@
     plan::{StackPlan, UpstreamPlan},
     process::{Process, ProcessError},
 };
-use crate::upstream::state::{Record, Switches};
+use crate::upstream::state::{UpstreamRecord, UpstreamSwitches};
 
 /// Environment of every stack.
 pub const ENVIRONMENT: &str = "production";
@@ -171,7 +171,7 @@
     /// # Errors
     ///
     /// Returns an error when the stand-in does not answer.
-    pub async fn record(&self, pair: &UpstreamPair) -> Result<Record, StackError> {
+    pub async fn record(&self, pair: &UpstreamPair) -> Result<UpstreamRecord, StackError> {
         let answer =
             self.caller.send(pair.upstream.address, "GET", "/fake/record", &[], "").await?;
         serde_json::from_value(answer.body)
@@ -186,7 +186,7 @@
     pub async fn set_upstream_switches(
         &self,
         pair: &UpstreamPair,
-        switches: &Switches,
+        switches: &UpstreamSwitches,
     ) -> Result<(), StackError> {
         let body = serde_json::to_vec(switches).unwrap_or_default();
         self.caller.send(pair.upstream.address, "POST", "/fake/switches", &[], body).await?;
--- a/crates/fakes/src/upstream/server.rs
+++ b/crates/fakes/src/upstream/server.rs
@@ -18,12 +18,12 @@
 
 use super::{
     engine,
-    state::{Call, Switches, Upstream},
+    state::{Call, Upstream, UpstreamSwitches},
 };
 
 const JSON: &str = "application/json";
 /// Start of the line that names a call by request identifier and idempotency key.
-pub const CALL_LINE: &str = "call ";
+pub const CALL_LINE_PREFIX: &str = "call ";
 
 /// Serves the stand-in until `stop` is cancelled.
 pub async fn serve(listener: TcpListener, upstream: Arc<Upstream>, stop: CancellationToken) {
@@ -59,12 +59,12 @@
 }
 
 /// Ends a call when it is dropped, also when the caller went away.
-struct Running {
+struct CallGuard {
     upstream: Arc<Upstream>,
     call: Call,
 }
 
-impl Drop for Running {
+impl Drop for CallGuard {
     fn drop(&mut self) {
         self.upstream.end(self.call);
     }
@@ -91,7 +91,7 @@
         }
         "switches" => {
             let body = read_body(request).await;
-            let Ok(switches) = serde_json::from_slice::<Switches>(&body) else {
+            let Ok(switches) = serde_json::from_slice::<UpstreamSwitches>(&body) else {
                 return respond(StatusCode::BAD_REQUEST, JSON, "{}");
             };
             upstream.set_switches(switches);
@@ -110,7 +110,7 @@
     let text = String::from_utf8_lossy(&body).into_owned();
     let switches = upstream.switches();
     if switches.log_calls {
-        println!("{CALL_LINE}{request_id} {}", key.as_deref().unwrap_or_default());
+        println!("{CALL_LINE_PREFIX}{request_id} {}", key.as_deref().unwrap_or_default());
     }
     if switches.crash_on.as_ref().is_some_and(|it| text.contains(it.as_str())) {
         std::process::abort();
@@ -118,7 +118,7 @@
     let Some(call) = upstream.begin(&request_id, key.as_deref()) else {
         return respond(StatusCode::SERVICE_UNAVAILABLE, JSON, r#"{"error":"engine restarted"}"#);
     };
-    let running = Running { upstream, call };
+    let call_guard = CallGuard { upstream, call };
     // Even a sleep of zero lasts until the timer's next millisecond.
     if switches.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(switches.delay_ms)).await;
@@ -128,7 +128,7 @@
         return respond(status, JSON, r#"{"error":"switched to fail"}"#);
     }
     match path.as_str() {
-        "/v1/completions" => complete(&body, &switches, running),
+        "/v1/completions" => complete(&body, &switches, call_guard),
         "/v1/embeddings" => answer(
             &body,
             |it: EmbeddingRequest| json!({ "data": [{ "embedding": engine::embed(&it.input) }] }),
@@ -161,7 +161,7 @@
     }
 }
 
-fn complete(body: &[u8], switches: &Switches, running: Running) -> Response<Body> {
+fn complete(body: &[u8], switches: &UpstreamSwitches, call_guard: CallGuard) -> Response<Body> {
     let Ok(request) = serde_json::from_slice::<CompletionRequest>(body) else {
         return respond(StatusCode::BAD_REQUEST, JSON, r#"{"error":"bad completion request"}"#);
     };
@@ -175,7 +175,7 @@
     }
     let delay = Duration::from_millis(switches.token_delay_ms);
     let frames = stream::iter(events).then(move |event| {
-        let held = &running;
+        let held = &call_guard;
         let _ = held;
         async move {
             if !delay.is_zero() {
--- a/crates/fakes/src/upstream/state.rs
+++ b/crates/fakes/src/upstream/state.rs
@@ -8,7 +8,7 @@
 /// Behaviour that a test may change while the stand-in runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
-pub struct Switches {
+pub struct UpstreamSwitches {
     /// Time that each call takes before its answer starts, in milliseconds.
     pub delay_ms: u64,
     /// Time between generated tokens, in milliseconds.
@@ -29,7 +29,7 @@
 
 /// What the stand-in saw.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
-pub struct Record {
+pub struct UpstreamRecord {
     /// Identity of the current engine start.
     pub boot_id: u64,
     /// Whether the engine is warm.
@@ -66,35 +66,36 @@
 /// State of one upstream stand-in.
 #[derive(Debug)]
 pub struct Upstream {
-    inner: Mutex<(Switches, Record)>,
+    inner: Mutex<(UpstreamSwitches, UpstreamRecord)>,
 }
 
 impl Upstream {
     /// Creates an engine that has just started.
-    pub fn new(switches: Switches, boot_id: u64) -> Self {
-        let record = Record { boot_id, warm: switches.cold_calls == 0, ..Record::default() };
+    pub fn new(switches: UpstreamSwitches, boot_id: u64) -> Self {
+        let record =
+            UpstreamRecord { boot_id, warm: switches.cold_calls == 0, ..UpstreamRecord::default() };
         Self { inner: Mutex::new((switches, record)) }
     }
 
     /// Returns the switches in force.
-    pub fn switches(&self) -> Switches {
+    pub fn switches(&self) -> UpstreamSwitches {
         self.lock().0.clone()
     }
 
     /// Replaces the switches.
-    pub fn set_switches(&self, switches: Switches) {
+    pub fn set_switches(&self, switches: UpstreamSwitches) {
         self.lock().0 = switches;
     }
 
     /// Returns what the stand-in saw so far.
-    pub fn record(&self) -> Record {
+    pub fn record(&self) -> UpstreamRecord {
         self.lock().1.clone()
     }
 
     /// Makes the engine cold, as after a restart.
     pub fn turn_cold(&self) {
         let mut inner = self.lock();
-        make_cold(&mut inner.1);
+        reset_to_cold(&mut inner.1);
     }
 
     /// Begins a call; returns none when the engine falls over instead.
@@ -121,7 +122,7 @@
         }
         record.overloads += 1;
         record.running -= 1;
-        make_cold(record);
+        reset_to_cold(record);
         None
     }
 
@@ -145,12 +146,12 @@
         self.lock().1.fences.push(fence);
     }
 
-    fn lock(&self) -> MutexGuard<'_, (Switches, Record)> {
+    fn lock(&self) -> MutexGuard<'_, (UpstreamSwitches, UpstreamRecord)> {
         self.inner.lock().unwrap_or_else(PoisonError::into_inner)
     }
 }
 
-fn make_cold(record: &mut Record) {
+fn reset_to_cold(record: &mut UpstreamRecord) {
     record.boot_id += 1;
     record.warm = false;
     record.started = 0;
--- a/crates/fakes/tests/at_most_once.rs
+++ b/crates/fakes/tests/at_most_once.rs
@@ -4,7 +4,7 @@
 
 use futures::future::join_all;
 use yuccatrail_fakes::{
-    platform::{Outage, Switches as PlatformSwitches},
+    platform::{Outage, PlatformSwitches},
     stack::{
         caller::{CallerError, ReceivedResponse},
         faults::{ReportedOutcome, wait_until},
--- a/crates/fakes/tests/callers.rs
+++ b/crates/fakes/tests/callers.rs
@@ -17,7 +17,7 @@
         run::Stack,
         traffic::{ResponseCheck, SteadyTraffic, is_complete_draft, read_order},
     },
-    upstream::state::Switches,
+    upstream::state::UpstreamSwitches,
 };
 
 /// Time between two requests of the well-behaved caller.
@@ -141,7 +141,7 @@
     let stack = start().await;
     let (entry, caller) = (stack.entry(0), Caller::new("lone-star"));
     // A draft that is not cancelled runs longer than the test waits.
-    let slow = Switches { token_delay_ms: 1_200, ..Switches::default() };
+    let slow = UpstreamSwitches { token_delay_ms: 1_200, ..UpstreamSwitches::default() };
     stack.set_upstream_switches(&stack.upstreams[0], &slow).await.expect("slow");
     for accept in ["text/event-stream", "application/json"] {
         let mut stream = TcpStream::connect(entry).await.expect("a connection");
@@ -155,7 +155,10 @@
         drop(stream);
         stack.wait_calls_running(0, 0).await.expect("the request is cancelled");
     }
-    stack.set_upstream_switches(&stack.upstreams[0], &Switches::default()).await.expect("fast");
+    stack
+        .set_upstream_switches(&stack.upstreams[0], &UpstreamSwitches::default())
+        .await
+        .expect("fast");
     let draft = caller.pipeline_stream(entry, "draft", "another").await;
     assert!(is_complete_draft(&draft.expect("a stream"), "another"));
     stack.close().await.expect("a clean stop");
--- a/crates/fakes/tests/cold_start.rs
+++ b/crates/fakes/tests/cold_start.rs
@@ -8,7 +8,7 @@
         plan::StackPlan,
         run::Stack,
     },
-    upstream::state::Record,
+    upstream::state::UpstreamRecord,
 };
 
 /// Rounds of each fault.
@@ -51,7 +51,7 @@
     verdicts.iter().filter(|it| matches!(it, Ok(ReportedOutcome::Completed))).count()
 }
 
-async fn record(stack: &Stack) -> Record {
+async fn record(stack: &Stack) -> UpstreamRecord {
     stack.record(&stack.upstreams[0]).await.expect("the record of the upstream")
 }
 
--- a/crates/fakes/tests/not_run.rs
+++ b/crates/fakes/tests/not_run.rs
@@ -20,7 +20,7 @@
         process::Signal,
         run::Stack,
     },
-    upstream::state::Switches,
+    upstream::state::UpstreamSwitches,
 };
 
 /// Seed of the calls and of the faults.
@@ -175,9 +175,12 @@
                 agent.signal(Signal::Resume).await.expect("the agent resumes");
                 continue;
             }
-            3 => Switches { fail_status: Some(503), ..normal.clone() },
-            4 => Switches { cut_after_tokens: Some(random.random_range(0..10)), ..normal.clone() },
-            5 => Switches { delay_ms: random.random_range(0..500), ..normal.clone() },
+            3 => UpstreamSwitches { fail_status: Some(503), ..normal.clone() },
+            4 => UpstreamSwitches {
+                cut_after_tokens: Some(random.random_range(0..10)),
+                ..normal.clone()
+            },
+            5 => UpstreamSwitches { delay_ms: random.random_range(0..500), ..normal.clone() },
             _ => {
                 stack.turn_cold(number).await.expect("the upstream turns cold");
                 normal.clone()
--- a/crates/fakes/tests/platform_api.rs
+++ b/crates/fakes/tests/platform_api.rs
@@ -11,7 +11,9 @@
     control::{ChangeId, ConfigRecord, HistoryEntry, Stored, StoredConfig},
     ids::Digest,
 };
-use yuccatrail_fakes::platform::{Counters, FakePlatform, FakeSettings, Outage, Switches};
+use yuccatrail_fakes::platform::{
+    Counters, FakePlatform, FakePlatformSettings, Outage, PlatformSwitches,
+};
 use yuccatrail_platform::{
     BudgetSettings, CallCounts, Client, ClientSettings, Kind, MAX_VALUE_BYTES, PlatformError,
     ResourceVersion, WatchEvent,
@@ -27,7 +29,7 @@
 }
 
 async fn start() -> (FakePlatform, Client) {
-    let platform = FakePlatform::start(FakeSettings::default()).await.unwrap();
+    let platform = FakePlatform::start(FakePlatformSettings::default()).await.unwrap();
     let client = Client::new(settings(&platform));
     (platform, client)
 }
@@ -116,13 +118,16 @@
 #[tokio::test]
 async fn a_lost_answer_is_told_apart_from_a_refusal() {
     let (platform, client) = start().await;
-    platform.set_switches(Switches { lost_answers: 1, ..Switches::default() });
+    platform.set_switches(PlatformSwitches { lost_answers: 1, ..PlatformSwitches::default() });
     let lost = client.create(Kind::Claims, "a", &spec("one")).await;
     assert!(matches!(lost, Err(PlatformError::AnswerLost { .. })));
     let read_back = client.get::<Spec>(Kind::Claims, "a").await.unwrap();
     assert_eq!(read_back.map(|it| it.spec), Some(spec("one")));
 
-    platform.set_switches(Switches { outage: Some(Outage::Unavailable), ..Switches::default() });
+    platform.set_switches(PlatformSwitches {
+        outage: Some(Outage::Unavailable),
+        ..PlatformSwitches::default()
+    });
     let refused = client.create(Kind::Claims, "b", &spec("one")).await;
     let Err(PlatformError::Unavailable { retry_after_ms, .. }) = refused else {
         panic!("503 with Retry-After had no effect")
@@ -130,7 +135,8 @@
     assert_eq!(retry_after_ms, Some(1_000));
 
     for outage in [Outage::Error, Outage::Reset, Outage::Hang] {
-        platform.set_switches(Switches { outage: Some(outage), ..Switches::default() });
+        platform
+            .set_switches(PlatformSwitches { outage: Some(outage), ..PlatformSwitches::default() });
         let write = client.create(Kind::Claims, "b", &spec("one")).await;
         assert!(matches!(write, Err(PlatformError::AnswerLost { .. })), "{outage:?}");
         let read = client.get::<Spec>(Kind::Claims, "b").await;
@@ -188,7 +194,8 @@
 
 #[tokio::test]
 async fn the_platform_limits_the_rate_of_writes() {
-    let settings = FakeSettings { writes_per_second: 1.0, ..FakeSettings::default() };
+    let settings =
+        FakePlatformSettings { writes_per_second: 1.0, ..FakePlatformSettings::default() };
     let platform = FakePlatform::start(settings).await.unwrap();
     let client = Client::new(self::settings(&platform));
     let mut refused = 0;
@@ -207,7 +214,7 @@
 
 #[tokio::test]
 async fn the_call_budget_refuses_before_it_sends() {
-    let platform = FakePlatform::start(FakeSettings::default()).await.unwrap();
+    let platform = FakePlatform::start(FakePlatformSettings::default()).await.unwrap();
     let budget =
         BudgetSettings { writes_per_second: 0.001, max_wait_ms: 1, ..BudgetSettings::default() };
     let client = Client::new(ClientSettings { budget, ..settings(&platform) });
@@ -225,13 +232,13 @@
 async fn the_instance_list_lags_and_other_kinds_do_not() {
     let (platform, client) = start().await;
     client.create(Kind::Instances, "early", &spec("one")).await.unwrap();
-    let lag = Switches { instances_lag_ms: 3_600_000, ..Switches::default() };
+    let lag = PlatformSwitches { instances_lag_ms: 3_600_000, ..PlatformSwitches::default() };
     platform.set_switches(lag);
     client.create(Kind::Instances, "late", &spec("one")).await.unwrap();
     client.create(Kind::Leases, "late", &spec("one")).await.unwrap();
     assert!(client.list::<Spec>(Kind::Instances).await.unwrap().objects.is_empty());
     assert_eq!(client.list::<Spec>(Kind::Leases).await.unwrap().objects.len(), 1);
-    platform.set_switches(Switches::default());
+    platform.set_switches(PlatformSwitches::default());
     assert_eq!(client.list::<Spec>(Kind::Instances).await.unwrap().objects.len(), 2);
     platform.close().await;
 }
@@ -244,7 +251,11 @@
     let switches = r#"{ "outage": "reset", "lost_answers": 2 }"#;
     let request = Request::put(format!("{base}/switches")).body(Full::from(switches)).unwrap();
     assert_eq!(http.request(request).await.unwrap().status(), StatusCode::OK);
-    let expected = Switches { outage: Some(Outage::Reset), lost_answers: 2, ..Switches::default() };
+    let expected = PlatformSwitches {
+        outage: Some(Outage::Reset),
+        lost_answers: 2,
+        ..PlatformSwitches::default()
+    };
     assert_eq!(platform.switches(), expected);
 
     // The admin path answers during an outage, so that a harness can end it.
--- a/crates/fakes/tests/watcher.rs
+++ b/crates/fakes/tests/watcher.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Serialize};
 use tokio::sync::mpsc::Receiver;
 use tokio_util::sync::CancellationToken;
-use yuccatrail_fakes::platform::{FakePlatform, FakeSettings, Outage, Switches};
+use yuccatrail_fakes::platform::{FakePlatform, FakePlatformSettings, Outage, PlatformSwitches};
 use yuccatrail_platform::{
     BackoffSettings, Client, ClientSettings, Kind, Object, WatchUpdate, Watcher, WatcherSettings,
 };
@@ -27,7 +27,7 @@
 
 impl Fixture {
     async fn start(max_silence_ms: u64) -> Self {
-        let platform = FakePlatform::start(FakeSettings::default()).await.unwrap();
+        let platform = FakePlatform::start(FakePlatformSettings::default()).await.unwrap();
         let client = Client::new(ClientSettings {
             address: platform.address(),
             request_timeout_ms: 300,
@@ -91,10 +91,10 @@
     fixture.next_snapshot().await;
     let outages = [Outage::Unavailable, Outage::Error, Outage::Reset, Outage::Hang];
     for (number, outage) in outages.into_iter().enumerate() {
-        let down = Switches { outage: Some(outage), ..Switches::default() };
+        let down = PlatformSwitches { outage: Some(outage), ..PlatformSwitches::default() };
         fixture.platform.set_switches(down);
         assert!(matches!(fixture.next().await, WatchUpdate::Unavailable(_)), "{outage:?}");
-        fixture.platform.set_switches(Switches::default());
+        fixture.platform.set_switches(PlatformSwitches::default());
         let created = fixture.create(&format!("after-{number}"), 1).await;
         assert_eq!(fixture.next().await, WatchUpdate::Available, "{outage:?}");
         assert_eq!(fixture.next().await, WatchUpdate::Changed(created), "{outage:?}");
@@ -107,15 +107,17 @@
 async fn lists_again_when_the_platform_forgot_the_history() {
     let mut fixture = Fixture::start(60_000).await;
     fixture.next_snapshot().await;
-    let down = Switches { outage: Some(Outage::Reset), ..Switches::default() };
+    let down = PlatformSwitches { outage: Some(Outage::Reset), ..PlatformSwitches::default() };
     fixture.platform.set_switches(down);
     assert!(matches!(fixture.next().await, WatchUpdate::Unavailable(_)));
 
     // Another client writes while the watcher sees nothing but failures.
-    fixture.platform.set_switches(Switches { silent_watches: true, ..Switches::default() });
+    fixture
+        .platform
+        .set_switches(PlatformSwitches { silent_watches: true, ..PlatformSwitches::default() });
     let created = fixture.create("second", 2).await;
     fixture.platform.compact();
-    fixture.platform.set_switches(Switches::default());
+    fixture.platform.set_switches(PlatformSwitches::default());
 
     let mut update = fixture.next().await;
     if update == WatchUpdate::Available {
@@ -131,7 +133,9 @@
 async fn lists_again_when_watches_stay_silent() {
     let mut fixture = Fixture::start(500).await;
     fixture.next_snapshot().await;
-    fixture.platform.set_switches(Switches { silent_watches: true, ..Switches::default() });
+    fixture
+        .platform
+        .set_switches(PlatformSwitches { silent_watches: true, ..PlatformSwitches::default() });
     let created = fixture.create("second", 2).await;
     for _ in 0..10 {
         if fixture.next_snapshot().await.contains(&created) {
--- a/crates/fakes/tests/watcher_fuzz.rs
+++ b/crates/fakes/tests/watcher_fuzz.rs
@@ -14,7 +14,7 @@
 use serde_json::{Value, json};
 use tokio::{runtime::Runtime, sync::mpsc::Receiver};
 use tokio_util::sync::CancellationToken;
-use yuccatrail_fakes::platform::{FakePlatform, FakeSettings, Outage, Switches};
+use yuccatrail_fakes::platform::{FakePlatform, FakePlatformSettings, Outage, PlatformSwitches};
 use yuccatrail_platform::{
     BackoffSettings, BudgetSettings, Client, ClientSettings, Kind, Object, WatchUpdate, Watcher,
     WatcherSettings,
@@ -116,7 +116,9 @@
     }
 
     fn apply(mut test: Self, model: &Model, event: Event) -> Self {
-        let fail = |outage| test.platform.set_switches(Switches { outage, ..Switches::default() });
+        let fail = |outage| {
+            test.platform.set_switches(PlatformSwitches { outage, ..PlatformSwitches::default() })
+        };
         match event {
             Event::Put(name, number) => {
                 let spec = json!({ "number": number });
@@ -127,7 +129,8 @@
             }
             Event::Fail(outage) => fail(Some(outage)),
             Event::Silence => {
-                let silent = Switches { silent_watches: true, ..Switches::default() };
+                let silent =
+                    PlatformSwitches { silent_watches: true, ..PlatformSwitches::default() };
                 test.platform.set_switches(silent);
             }
             Event::Heal => fail(None),
@@ -140,7 +143,7 @@
     }
 
     fn teardown(test: Self, _: Model) {
-        test.platform.set_switches(Switches::default());
+        test.platform.set_switches(PlatformSwitches::default());
         wait_until(|| numbers(&test.replica) == test.model);
         assert_eq!(numbers(&test.replica), test.model);
         test.runtime.block_on(async {
@@ -161,7 +164,7 @@
 }
 
 async fn start(replica: Arc<Mutex<Replica>>) -> (FakePlatform, Watcher) {
-    let platform = FakePlatform::start(FakeSettings::default()).await.unwrap();
+    let platform = FakePlatform::start(FakePlatformSettings::default()).await.unwrap();
     let budget = BudgetSettings {
         reads_per_second: 1_000.0,
         watches_per_second: 1_000.0,
--- a/crates/fakes/tests/whole_answers.rs
+++ b/crates/fakes/tests/whole_answers.rs
@@ -16,7 +16,7 @@
         process::Signal,
         run::Stack,
     },
-    upstream::state::Switches,
+    upstream::state::UpstreamSwitches,
 };
 
 /// Rounds of each fault.
@@ -177,7 +177,7 @@
     let stack = start().await;
     let pair = &stack.upstreams[1];
     let cutting =
-        Switches { cut_after_tokens: Some(CUT_AFTER_TOKENS), ..pair.plan.switches.clone() };
+        UpstreamSwitches { cut_after_tokens: Some(CUT_AFTER_TOKENS), ..pair.plan.switches.clone() };
     let mut cut = 0;
     for round in 0..ROUNDS {
         warm_up(&stack).await;
