--- a/crates/fakes/src/stack/caller.rs
+++ b/crates/fakes/src/stack/caller.rs
@@ -1,4 +1,4 @@
-//! HTTP caller for tests and demonstrations.
+//! HTTP client for tests and demonstrations.
 
 use std::net::SocketAddr;
 
@@ -14,37 +14,37 @@
 };
 use serde_json::{Value, json};
 
-/// The HTTP exchange broke.
+/// The HTTP exchange failed or its response could not be decoded.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{detail}")]
 pub struct CallerError {
-    /// What went wrong.
+    /// Description of the failure.
     pub detail: String,
 }
 
-/// Whole answer to a request.
+/// Response that was received to its end.
 #[derive(Clone, Debug, PartialEq)]
 pub struct ReceivedResponse {
-    /// HTTP status.
+    /// HTTP status code.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
     /// JSON body; null when the body is not JSON.
     pub body: Value,
 }
 
-/// Streamed answer to a pipeline request.
+/// Response to a pipeline request that was sent as a stream of events.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct StreamedResponse {
-    /// Texts of the `text` events, joined.
+    /// Concatenated texts of the `text` events.
     pub text: String,
-    /// Data of the `done` event.
+    /// Data of the `done` event, if the stream had one.
     pub done: Option<Value>,
-    /// Data of the `problem` event, or the problem document itself.
+    /// Data of the `problem` event, or the problem document that was sent instead of a stream.
     pub problem: Option<Value>,
 }
 
-/// Sends requests to entries and stand-ins.
+/// Sends requests to entries and stand-ins on behalf of one customer.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -60,11 +60,11 @@
         Self { client, customer: customer.to_owned() }
     }
 
-    /// Requests a pipeline and waits for the whole answer.
+    /// Requests a pipeline and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn pipeline(
         &self,
         entry: SocketAddr,
@@ -79,7 +79,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn pipeline_stream(
         &self,
         entry: SocketAddr,
@@ -89,11 +89,11 @@
         self.pipeline_stream_observed(entry, name, input, |_| {}).await
     }
 
-    /// Requests a pipeline as a stream and passes each text to `on_text` as it arrives.
+    /// Requests a pipeline as a stream of events and passes each text to `on_text` as it arrives.
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn pipeline_stream_observed(
         &self,
         entry: SocketAddr,
@@ -107,20 +107,20 @@
             .send_for_head(entry, "POST", &path, &[("accept", "text/event-stream")], body)
             .await?;
         if !response.status().is_success() {
-            let answer = read_response(response).await?;
+            let received = read_response(response).await?;
             return Ok(StreamedResponse {
-                problem: Some(answer.body),
+                problem: Some(received.body),
                 ..StreamedResponse::default()
             });
         }
         read_stream(response, on_text).await
     }
 
-    /// Makes a service call that may not be repeated.
+    /// Sends a non-idempotent service call with an idempotency key.
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn notice(
         &self,
         entry: SocketAddr,
@@ -133,11 +133,11 @@
         self.send(entry, "POST", path, &headers, json!({ "notice": key }).to_string()).await
     }
 
-    /// Makes a service call that may be repeated.
+    /// Sends an idempotent service call.
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn search(
         &self,
         entry: SocketAddr,
@@ -148,11 +148,11 @@
         self.send(entry, "POST", path, headers, body.to_owned()).await
     }
 
-    /// Sends any request and waits for the whole answer.
+    /// Sends a request and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -165,7 +165,7 @@
         read_response(response).await
     }
 
-    /// Sends any request and returns the answer with its body unread.
+    /// Sends a request and returns the response once its head has arrived, with the body unread.
     pub(crate) async fn send_for_head(
         &self,
         address: SocketAddr,
@@ -182,15 +182,15 @@
         for (name, value) in headers {
             builder = builder.header(*name, *value);
         }
-        let request = builder.body(Full::new(body.into())).map_err(broken)?;
-        self.client.request(request).await.map_err(broken)
+        let request = builder.body(Full::new(body.into())).map_err(caller_error)?;
+        self.client.request(request).await.map_err(caller_error)
     }
 }
 
 async fn read_response(response: Response<Incoming>) -> Result<ReceivedResponse, CallerError> {
     let status = response.status().as_u16();
     let headers = response.headers().clone();
-    let bytes = response.into_body().collect().await.map_err(broken)?.to_bytes();
+    let bytes = response.into_body().collect().await.map_err(caller_error)?.to_bytes();
     let body = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
     Ok(ReceivedResponse { status, headers, body })
 }
@@ -202,24 +202,24 @@
     let chunks = BodyStream::new(response.into_body())
         .filter_map(|frame| async move { frame.map(|it| it.into_data().ok()).transpose() });
     let mut events = std::pin::pin!(chunks.eventsource());
-    let mut answer = StreamedResponse::default();
+    let mut streamed = StreamedResponse::default();
     while let Some(event) = events.next().await {
-        let event = event.map_err(broken)?;
-        let data: Value = serde_json::from_str(&event.data).map_err(broken)?;
+        let event = event.map_err(caller_error)?;
+        let data: Value = serde_json::from_str(&event.data).map_err(caller_error)?;
         match event.event.as_str() {
             "text" => {
                 let text = data["text"].as_str().unwrap_or_default();
                 on_text(text);
-                answer.text.push_str(text);
+                streamed.text.push_str(text);
             }
-            "done" => answer.done = Some(data),
-            "problem" => answer.problem = Some(data),
+            "done" => streamed.done = Some(data),
+            "problem" => streamed.problem = Some(data),
             _ => {}
         }
     }
-    Ok(answer)
+    Ok(streamed)
 }
 
-fn broken(error: impl std::fmt::Display) -> CallerError {
+fn caller_error(error: impl std::fmt::Display) -> CallerError {
     CallerError { detail: error.to_string() }
 }
--- a/crates/fakes/src/stack/fault_proxy.rs
+++ b/crates/fakes/src/stack/fault_proxy.rs
@@ -1,4 +1,4 @@
-//! Loopback proxy whose connections can be delayed, reset, silenced or cut one way.
+//! TCP proxy on loopback that can delay, reset or stall its connections, or drop one direction.
 
 #[cfg(test)]
 mod tests;
@@ -23,38 +23,38 @@
     task::JoinSet,
 };
 
-/// Bytes passed on at once.
-const CHUNK_BYTES: usize = 16 * 1024;
+/// Size of the buffer for each direction of a connection, in bytes.
+const BUFFER_BYTES: usize = 16 * 1024;
 
-/// What a link does to its connections.
+/// What a proxy does with the bytes of its connections.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub enum ProxyState {
-    /// Bytes pass.
+    /// Forwards bytes in both directions.
     #[default]
     Forwarding,
-    /// Bytes pass after this time, in milliseconds.
+    /// Forwards bytes after a delay, in milliseconds.
     Delayed(u64),
-    /// Connections stay open and nothing passes.
+    /// Keeps connections open and forwards nothing.
     Stalled,
-    /// Only bytes from the target pass.
+    /// Forwards only the bytes from the target.
     DropToTarget,
-    /// Only bytes to the target pass.
+    /// Forwards only the bytes to the target.
     DropFromTarget,
-    /// Connections are reset, new ones too.
+    /// Resets open and new connections.
     Reset,
 }
 
-/// A way through which processes reach a target.
+/// A proxy in front of a target address; closed when it is dropped.
 #[derive(Debug)]
 pub struct FaultProxy {
     address: SocketAddr,
     state: watch::Sender<ProxyState>,
-    cuts: watch::Sender<u64>,
+    close_requests: watch::Sender<u64>,
     open: Arc<AtomicUsize>,
     accepting: JoinSet<()>,
 }
 
-/// Counts a connection for as long as it is open.
+/// Guard that subtracts a connection from the number of open ones when it is dropped.
 struct OpenConnection(Arc<AtomicUsize>);
 
 impl Drop for OpenConnection {
@@ -64,7 +64,7 @@
 }
 
 impl FaultProxy {
-    /// Opens a link to a target.
+    /// Starts a proxy on a free port in front of a target.
     ///
     /// # Errors
     ///
@@ -72,14 +72,21 @@
     pub async fn open(target: SocketAddr) -> io::Result<Self> {
         let listener = TcpListener::bind("127.0.0.1:0").await?;
         let address = listener.local_addr()?;
-        let (state, cuts) = (watch::Sender::new(ProxyState::Forwarding), watch::Sender::new(0));
+        let (state, close_requests) =
+            (watch::Sender::new(ProxyState::Forwarding), watch::Sender::new(0));
         let open = Arc::new(AtomicUsize::new(0));
         let mut accepting = JoinSet::new();
-        accepting.spawn(accept(listener, target, state.clone(), cuts.clone(), open.clone()));
-        Ok(Self { address, state, cuts, open, accepting })
+        accepting.spawn(accept(
+            listener,
+            target,
+            state.clone(),
+            close_requests.clone(),
+            open.clone(),
+        ));
+        Ok(Self { address, state, close_requests, open, accepting })
     }
 
-    /// Returns the address that stands for the target's.
+    /// Returns the address on which the proxy listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
@@ -89,17 +96,17 @@
         self.open.load(Ordering::SeqCst)
     }
 
-    /// Sets the state from now on; connections that lost bytes are reset.
+    /// Sets the state; connections that have lost bytes are reset once the state changes again.
     pub fn set_state(&self, state: ProxyState) {
         self.state.send_replace(state);
     }
 
-    /// Closes every open connection; new ones are accepted.
+    /// Closes every open connection; new ones are still accepted.
     pub fn close_connections(&self) {
-        self.cuts.send_modify(|it| *it += 1);
+        self.close_requests.send_modify(|it| *it += 1);
     }
 
-    /// Closes every connection and stops to listen.
+    /// Closes every connection and stops listening.
     pub fn close(self) {
         drop(self.accepting);
     }
@@ -109,18 +116,19 @@
     listener: TcpListener,
     target: SocketAddr,
     state: watch::Sender<ProxyState>,
-    cuts: watch::Sender<u64>,
+    close_requests: watch::Sender<u64>,
     open: Arc<AtomicUsize>,
 ) {
     let mut connections = JoinSet::new();
     while let Ok((stream, _)) = listener.accept().await {
         while connections.try_join_next().is_some() {}
-        let (state, mut cut, open) = (state.subscribe(), cuts.subscribe(), open.clone());
+        let (state, mut close_request, open) =
+            (state.subscribe(), close_requests.subscribe(), open.clone());
         connections.spawn(async move {
             tokio::select! {
-                // Both sides end connections as they like; what they lose is for the tests to see.
+                // Either side may end a connection; tests check the effect, so errors are ignored.
                 _ = forward_connection(stream, target, state, open) => {}
-                _ = cut.changed() => {}
+                _ = close_request.changed() => {}
             }
         });
     }
@@ -136,22 +144,22 @@
     if *state.borrow() == ProxyState::Reset {
         return stream.set_zero_linger();
     }
-    let other = TcpStream::connect(target).await?;
-    other.set_nodelay(true)?;
+    let target_stream = TcpStream::connect(target).await?;
+    target_stream.set_nodelay(true)?;
     open.fetch_add(1, Ordering::SeqCst);
     let _open_connection = OpenConnection(open);
     let (to_target, from_target) = (state.clone(), state.clone());
     let (mut reader, mut writer) = stream.into_split();
-    let (mut other_reader, mut other_writer) = other.into_split();
+    let (mut target_reader, mut target_writer) = target_stream.into_split();
     {
         let to_target_copy =
-            forward_bytes(&mut reader, &mut other_writer, to_target, ProxyState::DropToTarget);
+            forward_bytes(&mut reader, &mut target_writer, to_target, ProxyState::DropToTarget);
         let from_target_copy =
-            forward_bytes(&mut other_reader, &mut writer, from_target, ProxyState::DropFromTarget);
+            forward_bytes(&mut target_reader, &mut writer, from_target, ProxyState::DropFromTarget);
         let both = async { tokio::try_join!(to_target_copy, from_target_copy) };
         tokio::select! {
-            ended = both => {
-                if ended.is_ok() {
+            result = both => {
+                if result.is_ok() {
                     return Ok(());
                 }
             }
@@ -159,23 +167,23 @@
         }
     }
     reader.as_ref().set_zero_linger()?;
-    other_reader.as_ref().set_zero_linger()
+    target_reader.as_ref().set_zero_linger()
 }
 
-/// Passes bytes on in one direction; `closed` is the state in which none pass in this direction.
+/// Forwards bytes in one direction; `dropping` is the state in which this direction is dropped.
 async fn forward_bytes(
     reader: &mut OwnedReadHalf,
     writer: &mut OwnedWriteHalf,
     mut state: watch::Receiver<ProxyState>,
     dropping: ProxyState,
 ) -> io::Result<()> {
-    let mut buffer = vec![0; CHUNK_BYTES];
+    let mut buffer = vec![0; BUFFER_BYTES];
     loop {
         let read = reader.read(&mut buffer).await?;
         let current = *state.borrow_and_update();
         if current == ProxyState::Stalled || current == dropping {
-            // Bytes, or the connection's end, are lost, so nothing may pass here any more. The wait fails
-            // where the link is closed, which ends the connection too.
+            // Bytes or the end of the stream were lost, so this connection must not carry more
+            // bytes. The wait fails when the proxy is closed, which ends the connection as well.
             let _ = state.wait_for(|it| *it != current).await;
             return Err(io::ErrorKind::ConnectionReset.into());
         }
--- a/crates/fakes/src/stack/fault_proxy/tests.rs
+++ b/crates/fakes/src/stack/fault_proxy/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
-/// Opens a link to a server that sends back what it receives.
-async fn echo() -> FaultProxy {
+/// Starts a proxy in front of a server that echoes what it receives.
+async fn proxy_to_echo_server() -> FaultProxy {
     let listener = TcpListener::bind("127.0.0.1:0").await.unwrap();
     let address = listener.local_addr().unwrap();
     tokio::spawn(async move {
@@ -15,7 +15,7 @@
     FaultProxy::open(address).await.unwrap()
 }
 
-/// Sends a byte and returns the one that comes back within the limit.
+/// Sends a byte and returns the echoed one, or none if it does not arrive within the limit.
 async fn exchange(stream: &mut TcpStream, limit_ms: u64) -> Option<io::Result<u8>> {
     let exchange = async {
         stream.write_all(b"x").await?;
@@ -25,51 +25,57 @@
 }
 
 #[tokio::test]
-async fn an_open_link_passes_bytes_both_ways() {
-    let proxy = echo().await;
+async fn forwarding_proxy_passes_bytes_in_both_directions() {
+    let proxy = proxy_to_echo_server().await;
     let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
     assert_eq!(exchange(&mut stream, 5_000).await.unwrap().unwrap(), b'x');
 }
 
 #[tokio::test]
-async fn a_link_that_loses_bytes_stays_open_and_is_reset_afterwards() {
+async fn connection_that_loses_bytes_stays_open_and_is_reset_when_state_changes() {
     for state in [ProxyState::Stalled, ProxyState::DropToTarget, ProxyState::DropFromTarget] {
-        let proxy = echo().await;
+        let proxy = proxy_to_echo_server().await;
         let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
         assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
         proxy.set_state(state);
-        assert!(exchange(&mut stream, 100).await.is_none(), "{state:?} passes nothing back");
+        assert!(
+            exchange(&mut stream, 100).await.is_none(),
+            "no byte comes back in state {state:?}"
+        );
         proxy.set_state(ProxyState::Forwarding);
-        assert!(stream.read_u8().await.is_err(), "bytes were lost on this connection");
+        assert!(stream.read_u8().await.is_err(), "a connection that lost bytes is reset");
         let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
         assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
     }
 }
 
 #[tokio::test]
-async fn a_reset_ends_open_and_new_connections() {
-    let proxy = echo().await;
+async fn reset_ends_open_and_new_connections() {
+    let proxy = proxy_to_echo_server().await;
     let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
     assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
     proxy.set_state(ProxyState::Reset);
     assert!(stream.read_u8().await.is_err());
-    let mut late = TcpStream::connect(proxy.address()).await.unwrap();
-    assert!(late.read_u8().await.is_err());
+    let mut new_stream = TcpStream::connect(proxy.address()).await.unwrap();
+    assert!(new_stream.read_u8().await.is_err());
 }
 
 #[tokio::test]
-async fn a_delay_holds_bytes_for_its_time() {
-    let proxy = echo().await;
+async fn delay_applies_to_each_direction() {
+    let proxy = proxy_to_echo_server().await;
     proxy.set_state(ProxyState::Delayed(60));
     let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
-    let begun = std::time::Instant::now();
+    let started = std::time::Instant::now();
     assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
-    assert!(begun.elapsed() >= Duration::from_millis(120), "60 ms each way");
+    assert!(
+        started.elapsed() >= Duration::from_millis(120),
+        "the delay of 60 ms applies in each direction"
+    );
 }
 
 #[tokio::test]
-async fn a_cut_closes_what_is_open_and_lets_new_connections_pass() {
-    let proxy = echo().await;
+async fn close_connections_closes_open_connections_and_accepts_new_ones() {
+    let proxy = proxy_to_echo_server().await;
     let mut stream = TcpStream::connect(proxy.address()).await.unwrap();
     assert!(exchange(&mut stream, 5_000).await.unwrap().is_ok());
     assert_eq!(proxy.open_connections(), 1);
--- a/crates/fakes/src/stack/faults.rs
+++ b/crates/fakes/src/stack/faults.rs
@@ -1,4 +1,4 @@
-//! Faults that tests provoke in a running stack, and the calls that the upstreams began meanwhile.
+//! Fault injection into a running stack, and the calls that its upstreams have started.
 
 use std::{sync::PoisonError, time::Duration};
 
@@ -16,34 +16,35 @@
 
 /// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(10);
-/// Number of checks before a condition counts as not reached.
+/// Number of checks after which a condition counts as not reached.
 const POLL_LIMIT: u32 = 2000;
-/// Starts of a process at an address that another program may hold for a moment.
+/// Attempts to start a process at an address that another program may hold for a moment.
 const START_ATTEMPTS: u32 = 20;
-/// Time between two of these starts.
-const START_INTERVAL: Duration = Duration::from_millis(100);
+/// Time between two of these attempts.
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Calls that the upstreams of a stack began, those of ended processes included.
+/// Numbers of calls that the upstreams of a stack have started, including upstreams that were
+/// killed.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct UpstreamCalls {
-    /// Calls by request identifier.
+    /// Number of calls by request ID.
     pub by_request: FastMap<String, u32>,
-    /// Calls by idempotency key.
+    /// Number of calls by idempotency key.
     pub by_key: FastMap<String, u32>,
 }
 
 impl UpstreamCalls {
-    /// Returns the number of calls that carried an idempotency key.
+    /// Returns the number of calls with an idempotency key.
     pub fn count_for_key(&self, key: &str) -> u32 {
         self.by_key.get(key).copied().unwrap_or(0)
     }
 
-    /// Returns the number of calls made for a request.
+    /// Returns the number of calls for a request ID.
     pub fn count_for_request(&self, request: &str) -> u32 {
         self.by_request.get(request).copied().unwrap_or(0)
     }
 
-    fn add(&mut self, line: &str) {
+    fn add_log_line(&mut self, line: &str) {
         let Some((request, key)) =
             line.strip_prefix(CALL_LINE_PREFIX).and_then(|it| it.split_once(' '))
         else {
@@ -56,30 +57,30 @@
     }
 }
 
-/// What a caller learns about a request.
+/// Outcome of a request as its caller sees it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ReportedOutcome {
-    /// The answer arrived.
+    /// A success response was received.
     Completed,
-    /// The request was refused as not run.
+    /// The request was refused and was not run.
     NotRun,
     /// The request ran and failed.
     Failed,
-    /// The request may have run, or the caller got no answer at all.
+    /// The request may have run, or no response was received.
     Unknown,
 }
 
 impl ReportedOutcome {
-    /// Reads the verdict from the answer to a call.
-    pub fn of(answer: &Result<ReceivedResponse, CallerError>) -> Self {
-        match answer {
-            Ok(answer) if answer.status < 400 => Self::Completed,
-            Ok(answer) => Self::of_problem(&answer.body),
+    /// Returns the outcome that the result of a call reports.
+    pub fn of(response: &Result<ReceivedResponse, CallerError>) -> Self {
+        match response {
+            Ok(response) if response.status < 400 => Self::Completed,
+            Ok(response) => Self::of_problem(&response.body),
             Err(_) => Self::Unknown,
         }
     }
 
-    /// Reads the verdict from a problem document.
+    /// Returns the outcome that a problem document reports.
     pub fn of_problem(problem: &Value) -> Self {
         match problem["outcome"].as_str() {
             Some("not_run") => Self::NotRun,
@@ -89,7 +90,7 @@
     }
 }
 
-/// Waits until a condition holds.
+/// Waits until a condition holds; `what` describes it in the error.
 ///
 /// # Errors
 ///
@@ -105,7 +106,7 @@
 }
 
 impl Stack {
-    /// Ends the agent of an upstream without warning and starts another at the same address.
+    /// Kills the agent of an upstream and starts a new one at the same address.
     ///
     /// # Errors
     ///
@@ -120,16 +121,16 @@
         Ok(())
     }
 
-    /// Ends an upstream without warning; nothing listens on its address afterwards.
+    /// Kills an upstream; nothing listens on its address afterwards.
     ///
     /// # Errors
     ///
-    /// Returns an error when the process cannot be ended.
+    /// Returns an error when the process cannot be killed.
     pub async fn kill_upstream(&mut self, number: usize) -> Result<(), StackError> {
         kill(&mut self.upstreams[number].upstream).await
     }
 
-    /// Ends an upstream without warning and starts another at the same address.
+    /// Kills an upstream and starts a new one at the same address.
     ///
     /// # Errors
     ///
@@ -144,21 +145,21 @@
         Ok(())
     }
 
-    /// Ends an entry without warning.
+    /// Kills an entry.
     ///
     /// # Errors
     ///
-    /// Returns an error when the process cannot be ended.
+    /// Returns an error when the process cannot be killed.
     pub async fn kill_entry(&mut self, number: usize) -> Result<(), StackError> {
         kill(&mut self.entries[number]).await
     }
 
-    /// Ends an entry without warning, starts another at the same address and waits until it reaches
+    /// Kills an entry, starts a new one at the same address and waits until it is connected to
     /// every upstream.
     ///
     /// # Errors
     ///
-    /// Returns an error when the new process does not start or does not reach the upstreams.
+    /// Returns an error when the new process does not start or does not connect in time.
     pub async fn replace_entry(
         &mut self,
         number: usize,
@@ -173,11 +174,12 @@
         self.wait_connected(self.entry(number), self.upstreams.len()).await
     }
 
-    /// Lists an upstream under the address of a link and waits until every entry uses it.
+    /// Puts a proxy in front of the agent of an upstream: lists the proxy's address on the platform
+    /// and waits until every entry is connected through it.
     ///
     /// # Errors
     ///
-    /// Returns an error when the link does not open or the entries do not connect to it in time.
+    /// Returns an error when the proxy does not start or the entries do not connect to it in time.
     pub async fn insert_proxy(&self, number: usize) -> Result<FaultProxy, StackError> {
         let pair = &self.upstreams[number];
         let proxy = FaultProxy::open(pair.agent.address).await.map_err(ProcessError::from)?;
@@ -198,11 +200,11 @@
         Ok(proxy)
     }
 
-    /// Replaces the platform stand-in's switches.
+    /// Replaces the switches of the platform stand-in.
     ///
     /// # Errors
     ///
-    /// Returns an error when the stand-in does not answer.
+    /// Returns an error when the stand-in does not respond.
     pub async fn set_platform_switches(
         &self,
         switches: &platform::PlatformSwitches,
@@ -212,58 +214,59 @@
         Ok(())
     }
 
-    /// Reads the platform stand-in's counters.
+    /// Reads the counters of the platform stand-in.
     ///
     /// # Errors
     ///
-    /// Returns an error when the stand-in does not answer.
+    /// Returns an error when the stand-in does not respond.
     pub async fn platform_counters(&self) -> Result<platform::Counters, StackError> {
         let path = "/fake/counters";
-        let answer = self.caller.send(self.platform.address, "GET", path, &[], "").await?;
-        serde_json::from_value(answer.body)
+        let response = self.caller.send(self.platform.address, "GET", path, &[], "").await?;
+        serde_json::from_value(response.body)
             .map_err(|it| StackError::Caller(CallerError { detail: it.to_string() }))
     }
 
-    /// Makes an upstream cold without a word to anybody.
+    /// Makes an upstream cold without notifying any other process.
     ///
     /// # Errors
     ///
-    /// Returns an error when the stand-in does not answer.
+    /// Returns an error when the stand-in does not respond.
     pub async fn turn_cold(&self, number: usize) -> Result<(), StackError> {
         let address = self.upstreams[number].upstream.address;
         self.caller.send(address, "POST", "/fake/cold", &[], "").await?;
         Ok(())
     }
 
-    /// Returns the calls that the upstreams began so far; their switch `log_calls` has to be on.
+    /// Counts the calls that the upstreams have started so far; requires their switch `log_calls`.
     ///
     /// # Errors
     ///
-    /// Returns an error when a live upstream does not answer.
+    /// Returns an error when the log of a running upstream lacks lines of its calls for too long.
     pub async fn calls(&self) -> Result<UpstreamCalls, StackError> {
         let mut calls = UpstreamCalls::default();
         for pair in &self.upstreams {
             let Ok(record) = self.record(pair).await else { continue };
-            // The lines of a live process arrive shortly after the calls that they name.
-            wait_until("lines of all calls", async || {
+            // The log lines of a running process are read shortly after the calls start.
+            wait_until("log lines of all calls", async || {
                 call_lines(&pair.upstream).len() as u64 >= record.calls
             })
             .await?;
         }
-        let live = self.upstreams.iter().map(|it| &it.upstream);
-        for process in live.chain(&self.killed_upstreams) {
+        let running = self.upstreams.iter().map(|it| &it.upstream);
+        for process in running.chain(&self.killed_upstreams) {
             for line in call_lines(process) {
-                calls.add(&line);
+                calls.add_log_line(&line);
             }
         }
         Ok(calls)
     }
 
-    /// Waits until an upstream has begun a call with an idempotency key; returns its number.
+    /// Waits until an upstream has started a call with an idempotency key; returns the upstream's
+    /// number.
     ///
     /// # Errors
     ///
-    /// Returns an error when no upstream does in time.
+    /// Returns an error when no upstream starts such a call in time, or when one does not respond.
     pub async fn wait_for_run(&self, key: &str) -> Result<usize, StackError> {
         for _ in 0..POLL_LIMIT {
             for (number, pair) in self.upstreams.iter().enumerate() {
@@ -274,7 +277,7 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(StackError::NotReached { what: format!("a run of {key}") })
+        Err(StackError::NotReached { what: format!("a call with key {key}") })
     }
 }
 
@@ -289,7 +292,7 @@
     Ok(())
 }
 
-/// Starts a process, again after a while if its address is taken.
+/// Starts a process and retries while that fails, as its address may be in use for a moment.
 async fn start_with_retries(
     start: impl AsyncFn() -> Result<Process, StackError>,
 ) -> Result<Process, StackError> {
@@ -297,7 +300,7 @@
         if let Ok(process) = start().await {
             return Ok(process);
         }
-        tokio::time::sleep(START_INTERVAL).await;
+        tokio::time::sleep(START_RETRY_INTERVAL).await;
     }
     start().await
 }
--- a/crates/fakes/src/stack/mod.rs
+++ b/crates/fakes/src/stack/mod.rs
@@ -1,4 +1,5 @@
-//! Starts the real binaries with the stand-ins around them, as separate processes on loopback.
+//! Runs the real binaries together with the stand-ins, as separate processes on the loopback
+//! interface.
 
 pub mod caller;
 pub mod expected;
--- a/crates/fakes/src/stack/operator.rs
+++ b/crates/fakes/src/stack/operator.rs
@@ -1,4 +1,4 @@
-//! Operators' commands and faults of the platform in a running stack.
+//! Operator commands, changes on the platform and counts of calls in a running stack.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -20,24 +20,24 @@
 
 /// Time between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(20);
-/// Number of checks before a condition counts as not reached.
+/// Number of checks after which a condition counts as not reached.
 const POLL_LIMIT: u32 = 1000;
 
-/// Document with one generation pipeline and one service.
+/// Environment document with one text generation pipeline and one service.
 pub const SMALL_DOCUMENT: &str = include_str!("small.toml");
 
-/// What an operators' command returned.
+/// Result of an operator command.
 #[derive(Clone, Debug, PartialEq)]
 pub struct CommandOutput {
-    /// Exit code; none if a signal ended the command.
+    /// Exit code; none if the command was killed by a signal.
     pub code: Option<i32>,
-    /// The result that the command printed.
+    /// JSON that the command printed; null if it printed none.
     pub result: Value,
 }
 
 impl StackPlan {
-    /// Plans entries in the given data centres, and one upstream of each pool of
-    /// [`SMALL_DOCUMENT`] in each of `upstreams`.
+    /// Plans an entry in each data centre of `entries`, and in each of `upstreams` one upstream for
+    /// each pool of [`SMALL_DOCUMENT`].
     pub fn small(entries: &[&str], upstreams: &[&str]) -> Self {
         let mut planned = Vec::new();
         for pool in ["engines", "work-orders"] {
@@ -62,11 +62,12 @@
 }
 
 impl Stack {
-    /// Starts another entry, which reaches the platform at `platform`, and waits until it serves.
+    /// Starts another entry that calls the platform at `platform`, and waits until it may dispatch
+    /// to every upstream.
     ///
     /// # Errors
     ///
-    /// Returns an error when the entry does not start or does not reach the upstreams.
+    /// Returns an error when the entry does not start or does not connect to the upstreams in time.
     pub async fn add_entry(
         &mut self,
         data_centre: &str,
@@ -80,11 +81,12 @@
         Ok(())
     }
 
-    /// Puts all entries into the instance list, and waits until each knows the others.
+    /// Adds all entries to the instance list and waits until each knows its peers.
     ///
     /// # Errors
     ///
-    /// Returns an error when the platform refuses or an entry does not learn of the others.
+    /// Returns an error when the platform refuses a write or an entry does not learn of its peers
+    /// in time.
     pub async fn register_entries(&self, data_centres: &[&str]) -> Result<(), StackError> {
         for (entry, data_centre) in self.entries.iter().zip(data_centres) {
             let instance = entry_instance(entry, data_centre);
@@ -92,12 +94,15 @@
         }
         for entry in &self.entries {
             let count = self.entries.len() as u64;
-            self.wait_status(entry.address, "peers known", |it| it["peers"] == count).await?;
+            self.wait_status(entry.address, "all entries listed as peers", |it| {
+                it["peers"] == count
+            })
+            .await?;
         }
         Ok(())
     }
 
-    /// Runs an operators' command to its end.
+    /// Runs an operator command and waits until it exits.
     ///
     /// # Errors
     ///
@@ -115,24 +120,26 @@
         Ok(CommandOutput { code: output.status.code(), result })
     }
 
-    /// Runs an operators' command that has to be accepted.
+    /// Runs an operator command and requires that it is accepted.
     ///
     /// # Errors
     ///
     /// Returns an error when the command is not accepted.
     pub async fn run_accepted_command(&self, arguments: &[&str]) -> Result<(), StackError> {
-        let answer = self.run_operator_command(arguments).await?;
-        if answer.code == Some(0) {
+        let output = self.run_operator_command(arguments).await?;
+        if output.code == Some(0) {
             return Ok(());
         }
-        Err(StackError::NotReached { what: format!("{arguments:?} accepted, not {answer:?}") })
+        Err(StackError::NotReached {
+            what: format!("command {arguments:?} accepted, but it returned {output:?}"),
+        })
     }
 
-    /// Sets how the platform fails, or ends its failure.
+    /// Starts an outage of the platform, or ends it; other faults are switched off.
     ///
     /// # Errors
     ///
-    /// Returns an error when the platform stand-in does not answer.
+    /// Returns an error when the platform stand-in does not respond.
     pub async fn set_outage(&self, outage: Option<Outage>) -> Result<(), StackError> {
         let switches = PlatformSwitches { outage, ..PlatformSwitches::default() };
         let body = serde_json::to_vec(&switches).unwrap_or_default();
@@ -144,7 +151,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the platform refuses.
+    /// Returns an error when the upstream is not listed or the platform refuses the write.
     pub async fn set_listed_state(
         &self,
         name: &str,
@@ -152,37 +159,37 @@
     ) -> Result<(), StackError> {
         let object = self.client.get::<InstanceRecord>(Kind::Instances, name).await?;
         let Some(object) = object else {
-            return Err(StackError::NotReached { what: format!("{name} listed") });
+            return Err(StackError::NotReached { what: format!("{name} in the instance list") });
         };
         let record = InstanceRecord { state, ..object.spec };
         self.client.update(Kind::Instances, name, &object.resource_version, &record).await?;
         Ok(())
     }
 
-    /// Returns the position of an upstream by name.
+    /// Returns the index of an upstream by name.
     pub fn upstream_index(&self, name: &str) -> Option<usize> {
         self.upstreams.iter().position(|it| it.plan.name == name)
     }
 
-    /// Counts the calls that the upstreams of a data centre were given so far.
+    /// Counts the calls that the upstreams in a data centre have started so far.
     ///
     /// # Errors
     ///
-    /// Returns an error when a stand-in does not answer.
+    /// Returns an error when a stand-in does not respond.
     pub async fn calls_in(&self, data_centre: &str) -> Result<u64, StackError> {
-        let here = self.upstreams.iter().filter(|it| it.plan.data_centre == data_centre);
+        let in_data_centre = self.upstreams.iter().filter(|it| it.plan.data_centre == data_centre);
         let mut calls = 0;
-        for record in join_all(here.map(|it| self.record(it))).await {
+        for record in join_all(in_data_centre.map(|it| self.record(it))).await {
             calls += record?.calls;
         }
         Ok(calls)
     }
 
-    /// Waits until the upstreams of a data centre were given more than `calls` calls.
+    /// Waits until the upstreams in a data centre have started more than `calls` calls.
     ///
     /// # Errors
     ///
-    /// Returns an error when they are not given any in time.
+    /// Returns an error when no further call starts in time, or when a stand-in does not respond.
     pub async fn wait_more_calls_in(
         &self,
         data_centre: &str,
@@ -194,14 +201,14 @@
             }
             tokio::time::sleep(POLL_INTERVAL).await;
         }
-        Err(StackError::NotReached { what: format!("new calls in {data_centre}") })
+        Err(StackError::NotReached { what: format!("more than {calls} calls in {data_centre}") })
     }
 
-    /// Waits until an upstream stand-in runs `count` calls at once.
+    /// Waits until an upstream stand-in has exactly `count` calls in progress.
     ///
     /// # Errors
     ///
-    /// Returns an error when it does not in time.
+    /// Returns an error when that is not reached in time, or when the stand-in does not respond.
     pub async fn wait_calls_running(&self, upstream: usize, count: u32) -> Result<(), StackError> {
         for _ in 0..POLL_LIMIT {
             if self.record(&self.upstreams[upstream]).await?.running == count {
@@ -210,11 +217,11 @@
             tokio::time::sleep(POLL_INTERVAL).await;
         }
         let name = &self.upstreams[upstream].plan.name;
-        Err(StackError::NotReached { what: format!("{count} calls running at {name}") })
+        Err(StackError::NotReached { what: format!("{count} calls in progress at {name}") })
     }
 }
 
-/// Starts an entry that other entries reach at `peer_listen`.
+/// Starts an entry on a free port that listens for its peers on `peer_listen`.
 ///
 /// # Errors
 ///
--- a/crates/fakes/src/stack/plan.rs
+++ b/crates/fakes/src/stack/plan.rs
@@ -1,53 +1,54 @@
-//! What a stack consists of.
+//! Plan of a stack: its environment document, entries and upstreams.
 
 use yuccatrail_core::document::PoolKind;
 
 use crate::upstream::state::UpstreamSwitches;
 
-/// Data centres of every stack.
+/// Data centres over which instances are spread.
 pub const DATA_CENTRES: [&str; 2] = ["north", "south"];
-/// Pools of the demo document.
+/// Names of the pools in the demo document.
 pub const DEMO_POOLS: [&str; 5] = ["encoders", "retrievers", "rerankers", "engines", SERVICE_POOL];
-/// Pool of the demo document's plain service.
+/// Pool of the plain service in the demo document.
 const SERVICE_POOL: &str = "work-orders";
 
-/// Parts of a stack.
+/// Processes of a stack and the environment document that they start with.
 #[derive(Clone, Debug)]
 pub struct StackPlan {
-    /// Environment document.
+    /// Environment document, in TOML.
     pub document: String,
-    /// Data centres of the entries, one for each entry.
+    /// Data centre of each entry.
     pub entries: Vec<String>,
-    /// Upstreams.
+    /// Upstreams, each with an agent.
     pub upstreams: Vec<UpstreamPlan>,
 }
 
-/// One upstream with its agent.
+/// Plan of one upstream and its agent.
 #[derive(Clone, Debug)]
 pub struct UpstreamPlan {
-    /// Name of the instance.
+    /// Name of the instance in the platform's list.
     pub name: String,
-    /// Pool.
+    /// Pool that the upstream belongs to.
     pub pool: String,
-    /// Data centre.
+    /// Data centre that the agent reports.
     pub data_centre: String,
-    /// Behaviour of the stand-in.
+    /// Initial behaviour of the upstream stand-in.
     pub switches: UpstreamSwitches,
 }
 
-/// The four-stage document that demonstrations and tests use.
+/// Environment document with a four-stage pipeline, for demonstrations and tests.
 pub const DEMO_DOCUMENT: &str = include_str!("demo.toml");
 
-/// A document with a pipeline of two stages and one service, for tests of faults.
+/// Environment document with a two-stage pipeline and one service, for fault tests.
 pub const SHORT_DOCUMENT: &str = include_str!("short.toml");
 
 impl StackPlan {
-    /// Plans two entries and two upstreams for each pool of the demo document.
+    /// Plans two entries, and two upstreams in each pool of the demo document.
     pub fn demo() -> Self {
         Self::sized(2, 2)
     }
 
-    /// Plans entries and upstreams for each pool of the demo document, in two data centres in turn.
+    /// Plans the given numbers of entries and of upstreams in each pool of the demo document,
+    /// spread alternately over both data centres.
     pub fn sized(entries: usize, upstreams_per_pool: usize) -> Self {
         let mut upstreams = Vec::new();
         for pool in DEMO_POOLS {
@@ -59,14 +60,15 @@
         Self { document: DEMO_DOCUMENT.to_owned(), entries, upstreams }
     }
 
-    /// Plans one entry and upstreams of the demo document's service pool alone.
+    /// Plans one entry and the given number of upstreams in the service pool of the demo document
+    /// only.
     pub fn service_only(upstreams: usize) -> Self {
         let upstreams = (0..upstreams).map(|it| UpstreamPlan::new(SERVICE_POOL, it)).collect();
         let entries = vec![data_centre(0).to_owned()];
         Self { document: DEMO_DOCUMENT.to_owned(), entries, upstreams }
     }
 
-    /// Plans two entries and the given number of upstreams of each pool of the short document.
+    /// Plans two entries and the given number of upstreams in each pool of [`SHORT_DOCUMENT`].
     pub fn short(pools: &[(&str, usize)]) -> Self {
         let data_centres = ["north", "south"];
         let mut upstreams = Vec::new();
@@ -84,7 +86,7 @@
         Self { document: SHORT_DOCUMENT.to_owned(), entries, upstreams }
     }
 
-    /// Applies a change to the switches of every upstream of a pool.
+    /// Changes the switches of every upstream in a pool.
     pub fn change_pool_switches(&mut self, pool: &str, change: impl Fn(&mut UpstreamSwitches)) {
         for upstream in &mut self.upstreams {
             if upstream.pool == pool {
@@ -95,7 +97,7 @@
 }
 
 impl UpstreamPlan {
-    /// Plans upstream `number` of a pool; data centres take turns.
+    /// Plans upstream `number` of a pool; the data centre alternates with the number.
     pub fn new(pool: &str, number: usize) -> Self {
         Self {
             name: format!("{pool}-{number}"),
@@ -106,11 +108,11 @@
     }
 }
 
-/// Returns the data centre of the instance `number` of a kind.
+/// Returns the data centre of an instance by its number; numbers alternate between data centres.
 pub fn data_centre(number: usize) -> &'static str {
     DATA_CENTRES[number % DATA_CENTRES.len()]
 }
 
-/// Kinds of the demo pipeline's stages, in order.
+/// Kinds of the stages in the demo pipeline, in order of execution.
 pub const DEMO_STAGES: [PoolKind; 4] =
     [PoolKind::Encode, PoolKind::Retrieve, PoolKind::Rerank, PoolKind::Generate];
--- a/crates/fakes/src/stack/process.rs
+++ b/crates/fakes/src/stack/process.rs
@@ -1,4 +1,4 @@
-//! One child process whose listening address is read from its output.
+//! A child process whose listening address is read from its output.
 
 use std::{
     io,
@@ -18,28 +18,28 @@
     task::JoinSet,
 };
 
-/// Environment variable that makes the harness pass on the processes' logs.
-const ECHO_VARIABLE: &str = "YUCCATRAIL_ECHO_LOGS";
-/// Time in which a process has to start listening.
+/// Environment variable that makes the harness print the logs of its processes to standard error.
+const ECHO_LOGS_VARIABLE: &str = "YUCCATRAIL_ECHO_LOGS";
+/// Time within which a process must report its listening address.
 const START_TIMEOUT: Duration = Duration::from_secs(20);
-/// Time in which a planned stop has to finish.
+/// Time within which a process must exit after a request for a graceful shutdown.
 const STOP_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Why a process could not be started or stopped.
 #[derive(Debug, Display, Error, From)]
 pub enum ProcessError {
-    /// The operating system refused.
+    /// A system call failed.
     #[display("{_0}")]
     Io(io::Error),
-    /// The process did not report an address in time.
-    #[display("{name} did not start listening")]
+    /// The process did not report its listening address in time, or exited first.
+    #[display("{name} did not report a listening address")]
     #[from(ignore)]
     NotListening {
         /// Name of the process.
         name: String,
     },
-    /// The process did not end in time.
-    #[display("{name} did not stop")]
+    /// The process did not exit in time.
+    #[display("{name} did not exit in time")]
     #[from(ignore)]
     NotStopped {
         /// Name of the process.
@@ -47,13 +47,13 @@
     },
 }
 
-/// Signal that can be sent to a process.
+/// Signals for a process; displayed as the option of the `kill` command.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Signal {
-    /// Asks for a planned stop.
+    /// Requests a graceful shutdown.
     #[display("-TERM")]
     Terminate,
-    /// Ends the process at once.
+    /// Kills the process.
     #[display("-KILL")]
     Kill,
     /// Pauses the process.
@@ -67,24 +67,25 @@
 /// A running child process.
 #[derive(Debug)]
 pub struct Process {
-    /// Name for reports.
+    /// Name in error messages.
     pub name: String,
-    /// Address on which the process listens.
+    /// Address for requests.
     pub address: SocketAddr,
-    /// Address of the health and metrics endpoint, if it is another.
+    /// Address of the second endpoint that the process reports, if any: of an agent the one for
+    /// health and metrics, of an entry the one for its peers.
     pub admin_address: Option<SocketAddr>,
-    /// Lines that the process wrote.
+    /// Lines that the process wrote to standard output and standard error so far.
     pub log: Arc<Mutex<Vec<String>>>,
     child: Child,
     readers: JoinSet<()>,
 }
 
 impl Process {
-    /// Starts a workspace binary and waits until it listens.
+    /// Starts a workspace binary and waits until it reports its listening address.
     ///
     /// # Errors
     ///
-    /// Returns an error when the process cannot be started or does not listen in time.
+    /// Returns an error when the process cannot be started or reports no address in time.
     pub async fn start(
         name: &str,
         binary: &str,
@@ -101,10 +102,10 @@
         let (sender, mut receiver) = watch::channel(None);
         let mut readers = JoinSet::new();
         if let Some(output) = child.stdout.take() {
-            readers.spawn(collect(output, log.clone(), sender.clone()));
+            readers.spawn(collect_output(output, log.clone(), sender.clone()));
         }
         if let Some(output) = child.stderr.take() {
-            readers.spawn(collect(output, log.clone(), sender));
+            readers.spawn(collect_output(output, log.clone(), sender));
         }
         let not_listening = || ProcessError::NotListening { name: name.to_owned() };
         let waiting = receiver.wait_for(Option::is_some);
@@ -115,62 +116,62 @@
         Ok(Self { name: name.to_owned(), address, admin_address, log, child, readers })
     }
 
-    /// Returns the operating system's id of the process, unless it has ended.
+    /// Returns the process ID, unless the process was found to have exited.
     pub fn id(&self) -> Option<u32> {
         self.child.id()
     }
 
-    /// Sends a signal.
+    /// Sends a signal; does nothing if the process was found to have exited.
     ///
     /// # Errors
     ///
-    /// Returns an error when the signal cannot be sent.
+    /// Returns an error when the `kill` command cannot be run.
     pub async fn signal(&self, signal: Signal) -> Result<(), ProcessError> {
         let Some(id) = self.child.id() else { return Ok(()) };
         Command::new("kill").arg(signal.to_string()).arg(id.to_string()).status().await?;
         Ok(())
     }
 
-    /// Asks the process for a planned stop and waits for its end.
+    /// Requests a graceful shutdown and waits until the process exits.
     ///
     /// # Errors
     ///
-    /// Returns an error when the process does not end in time.
+    /// Returns an error when the process does not exit in time.
     pub async fn close(mut self) -> Result<ExitStatus, ProcessError> {
         self.signal(Signal::Terminate).await?;
         self.wait().await
     }
 
-    /// Ends the process without warning.
+    /// Kills the process.
     ///
     /// # Errors
     ///
-    /// Returns an error when the process cannot be ended.
+    /// Returns an error when the process cannot be killed.
     pub async fn kill(mut self) -> Result<(), ProcessError> {
         self.child.kill().await?;
         Ok(())
     }
 
-    /// Ends the process without warning and keeps its address and log.
+    /// Kills the process; its address and log remain available.
     ///
     /// # Errors
     ///
-    /// Returns an error when the process cannot be ended.
+    /// Returns an error when the process cannot be killed.
     pub async fn kill_in_place(&mut self) -> Result<(), ProcessError> {
         self.child.kill().await?;
         Ok(())
     }
 
-    /// Tells whether the process has ended.
+    /// Returns whether the process has exited.
     pub fn has_ended(&mut self) -> bool {
         !matches!(self.child.try_wait(), Ok(None))
     }
 
-    /// Waits for the process's end and the last lines that it wrote.
+    /// Waits until the process has exited and all of its output was read.
     ///
     /// # Errors
     ///
-    /// Returns an error when the process does not end in time.
+    /// Returns an error when the process does not exit in time.
     pub async fn wait(&mut self) -> Result<ExitStatus, ProcessError> {
         match tokio::time::timeout(STOP_TIMEOUT, self.child.wait()).await {
             Ok(status) => {
@@ -187,7 +188,7 @@
     }
 }
 
-/// Returns the path of a workspace binary beside the running one.
+/// Returns the path of a workspace binary in the build directory of the running one.
 pub(crate) fn binary_path(binary: &str) -> io::Result<PathBuf> {
     let mut directory = std::env::current_exe()?;
     directory.pop();
@@ -197,9 +198,11 @@
     Ok(directory.join(binary))
 }
 
+/// Reported addresses: for requests, and of a second endpoint if there is one.
 type Addresses = Option<(SocketAddr, Option<SocketAddr>)>;
 
-async fn collect(
+/// Stores the lines of an output in the log and publishes the addresses once a line reports them.
+async fn collect_output(
     output: impl AsyncRead + Unpin,
     log: Arc<Mutex<Vec<String>>>,
     found: watch::Sender<Addresses>,
@@ -207,18 +210,18 @@
     let mut lines = BufReader::new(output).lines();
     while let Ok(Some(line)) = lines.next_line().await {
         let is_known = found.borrow().is_some();
-        if !is_known && let Some(addresses) = listening(&line) {
+        if !is_known && let Some(addresses) = parse_addresses(&line) {
             found.send_replace(Some(addresses));
         }
-        if std::env::var_os(ECHO_VARIABLE).is_some() {
+        if std::env::var_os(ECHO_LOGS_VARIABLE).is_some() {
             eprintln!("{line}");
         }
         log.lock().unwrap_or_else(PoisonError::into_inner).push(line);
     }
 }
 
-/// Recognizes the line in which a process reports its addresses.
-fn listening(line: &str) -> Option<(SocketAddr, Option<SocketAddr>)> {
+/// Parses a line in which a process reports its addresses; returns none for other lines.
+fn parse_addresses(line: &str) -> Option<(SocketAddr, Option<SocketAddr>)> {
     if let Some(address) = line.strip_prefix("listening ") {
         return Some((address.trim().parse().ok()?, None));
     }
--- a/crates/fakes/src/stack/run.rs
+++ b/crates/fakes/src/stack/run.rs
@@ -1,4 +1,4 @@
-//! A running stack.
+//! A running stack: start, status, switches and stop of its processes.
 
 use std::net::SocketAddr;
 
@@ -19,30 +19,30 @@
 };
 use crate::upstream::state::{UpstreamRecord, UpstreamSwitches};
 
-/// Environment of every stack.
+/// Name of the environment in every stack.
 pub const ENVIRONMENT: &str = "production";
 /// Time between two checks of a condition, in milliseconds.
 const POLL_INTERVAL_MS: u64 = 20;
-/// Number of checks before a condition counts as not reached.
+/// Number of checks after which a condition counts as not reached.
 const POLL_LIMIT: u32 = 1000;
 
-/// Why a stack failed.
+/// Error in an operation on a stack.
 #[derive(Debug, Display, Error, From)]
 pub enum StackError {
-    /// A process failed.
+    /// A process could not be started or stopped.
     #[display("{_0}")]
     Process(ProcessError),
-    /// A request failed.
+    /// An HTTP exchange failed.
     #[display("{_0}")]
     Caller(CallerError),
-    /// The platform stand-in refused.
+    /// A call to the platform failed.
     #[display("platform: {_0}")]
     Platform(PlatformError),
     /// A condition was not reached in time.
     #[display("condition not reached: {what}")]
     #[from(ignore)]
     NotReached {
-        /// The condition.
+        /// Description of the condition.
         what: String,
     },
 }
@@ -50,37 +50,38 @@
 /// An upstream stand-in with its agent.
 #[derive(Debug)]
 pub struct UpstreamPair {
-    /// The plan.
+    /// Plan from which both were started.
     pub plan: UpstreamPlan,
-    /// The upstream stand-in.
+    /// Process of the upstream stand-in.
     pub upstream: Process,
-    /// The agent.
+    /// Process of the agent.
     pub agent: Process,
 }
 
 /// All processes of a running stack.
 #[derive(Debug)]
 pub struct Stack {
-    /// The platform stand-in.
+    /// Process of the platform stand-in.
     pub platform: Process,
-    /// Client of the platform.
+    /// Client for the platform.
     pub client: Client,
-    /// Entries.
+    /// Processes of the entries.
     pub entries: Vec<Process>,
-    /// Upstreams with their agents.
+    /// Upstream stand-ins with their agents.
     pub upstreams: Vec<UpstreamPair>,
-    /// Caller for requests and for the stand-ins' switches.
+    /// Client for requests to entries and for the switches of the stand-ins.
     pub caller: Caller,
-    /// Upstream stand-ins that were ended and replaced.
+    /// Upstream stand-ins that were killed and replaced; their logs are still read.
     pub(crate) killed_upstreams: Vec<Process>,
 }
 
 impl Stack {
-    /// Starts all processes and waits until every entry reaches every upstream.
+    /// Starts all processes and waits until every entry may dispatch to every upstream.
     ///
     /// # Errors
     ///
-    /// Returns an error when a process does not start or the entries do not become ready.
+    /// Returns an error when a process does not start, the platform refuses a write or an entry is
+    /// not ready in time.
     pub async fn start(plan: StackPlan) -> Result<Self, StackError> {
         let arguments = to_strings(&["platform", "--listen", "127.0.0.1:0"]);
         let platform = Process::start("platform", "yuccatrail-fakes", &arguments).await?;
@@ -111,27 +112,27 @@
         Ok(stack)
     }
 
-    /// Waits until an entry may send work to every upstream.
+    /// Waits until an entry may dispatch to every upstream.
     ///
-    /// An agent that an entry has only just reached refuses work until it holds the control state.
+    /// A connection alone does not suffice: an agent refuses work until it has the control state.
     ///
     /// # Errors
     ///
     /// Returns an error when that is not reached in time.
     pub async fn wait_dispatchable(&self, entry: SocketAddr) -> Result<(), StackError> {
-        self.wait_status(entry, "all upstreams open", |status| {
+        self.wait_status(entry, "all upstreams connected and accepting work", |status| {
             let upstreams = status["upstreams"].as_array().map_or(&[][..], Vec::as_slice);
-            let is_open = |it: &&Value| it["connected"] == true && it["refusal"].is_null();
-            upstreams.iter().filter(is_open).count() == self.upstreams.len()
+            let is_dispatchable = |it: &&Value| it["connected"] == true && it["refusal"].is_null();
+            upstreams.iter().filter(is_dispatchable).count() == self.upstreams.len()
         })
         .await
     }
 
-    /// Waits until an entry reaches `count` upstreams.
+    /// Waits until an entry is connected to `count` upstreams.
     ///
     /// # Errors
     ///
-    /// Returns an error when the entry does not reach them in time.
+    /// Returns an error when that is not reached in time.
     pub async fn wait_connected(&self, entry: SocketAddr, count: usize) -> Result<(), StackError> {
         self.wait_status(entry, &format!("{count} upstreams connected"), |status| {
             let upstreams = status["upstreams"].as_array().map_or(&[][..], Vec::as_slice);
@@ -140,7 +141,7 @@
         .await
     }
 
-    /// Waits until the status of an entry satisfies a condition.
+    /// Waits until the status of an entry satisfies a condition; `what` describes it in the error.
     ///
     /// # Errors
     ///
@@ -152,8 +153,8 @@
         condition: impl Fn(&Value) -> bool,
     ) -> Result<(), StackError> {
         for _ in 0..POLL_LIMIT {
-            let answer = self.caller.send(entry, "GET", "/v1/status", &[], "").await;
-            if answer.is_ok_and(|it| condition(&it.body)) {
+            let response = self.caller.send(entry, "GET", "/v1/status", &[], "").await;
+            if response.is_ok_and(|it| condition(&it.body)) {
                 return Ok(());
             }
             tokio::time::sleep(std::time::Duration::from_millis(POLL_INTERVAL_MS)).await;
@@ -161,28 +162,28 @@
         Err(StackError::NotReached { what: what.to_owned() })
     }
 
-    /// Returns the address of an entry.
+    /// Returns the address of the entry `number`.
     pub fn entry(&self, number: usize) -> SocketAddr {
         self.entries[number].address
     }
 
-    /// Reads what an upstream stand-in recorded.
+    /// Reads the record of an upstream stand-in.
     ///
     /// # Errors
     ///
-    /// Returns an error when the stand-in does not answer.
+    /// Returns an error when the stand-in does not respond.
     pub async fn record(&self, pair: &UpstreamPair) -> Result<UpstreamRecord, StackError> {
-        let answer =
+        let response =
             self.caller.send(pair.upstream.address, "GET", "/fake/record", &[], "").await?;
-        serde_json::from_value(answer.body)
+        serde_json::from_value(response.body)
             .map_err(|it| StackError::Caller(CallerError { detail: it.to_string() }))
     }
 
-    /// Changes the behaviour of an upstream stand-in.
+    /// Replaces the switches of an upstream stand-in.
     ///
     /// # Errors
     ///
-    /// Returns an error when the stand-in does not answer.
+    /// Returns an error when the stand-in does not respond.
     pub async fn set_upstream_switches(
         &self,
         pair: &UpstreamPair,
@@ -193,11 +194,11 @@
         Ok(())
     }
 
-    /// Stops all processes as planned: entries, agents, upstreams, platform.
+    /// Shuts all processes down gracefully: first entries, then agents, upstreams and the platform.
     ///
     /// # Errors
     ///
-    /// Returns an error when a process does not stop or reports a failure.
+    /// Returns an error when a process does not exit in time or exits with a failure.
     pub async fn close(self) -> Result<(), StackError> {
         stop_all(self.entries).await?;
         let mut agents = Vec::new();
@@ -213,7 +214,7 @@
 }
 
 impl UpstreamPair {
-    /// Returns the instance record that the platform lists.
+    /// Returns the instance record under which the platform lists the agent.
     pub fn instance(&self) -> InstanceRecord {
         Self::instance_record(&self.plan, self.agent.address)
     }
@@ -243,7 +244,7 @@
     }
 }
 
-/// Writes an environment document as the first accepted configuration.
+/// Writes an environment document as the current configuration of an environment that has none.
 ///
 /// # Errors
 ///
@@ -273,7 +274,7 @@
     start_entry_listening_at(name, data_centre, platform, "127.0.0.1:0").await
 }
 
-/// Starts an entry process on an address.
+/// Starts an entry process on the given listening address.
 ///
 /// # Errors
 ///
@@ -303,7 +304,7 @@
     Ok(Process::start(name, "yuccatrail", &arguments).await?)
 }
 
-/// Starts an agent for an upstream stand-in.
+/// Starts an agent in front of an upstream stand-in.
 ///
 /// # Errors
 ///
@@ -331,7 +332,7 @@
     Ok(Process::start(&format!("agent {}", plan.name), "yuccatrail-agent", &arguments).await?)
 }
 
-/// Starts an upstream stand-in.
+/// Starts an upstream stand-in with the planned switches.
 ///
 /// # Errors
 ///
@@ -348,18 +349,18 @@
     Ok(UpstreamPair { plan, upstream, agent })
 }
 
-/// Stops processes side by side and checks that each exits with success.
+/// Shuts processes down concurrently and checks that each exits with success.
 async fn stop_all(processes: Vec<Process>) -> Result<(), StackError> {
-    let mut closing = Vec::new();
+    let mut shutdowns = Vec::new();
     for process in processes {
         let name = process.name.clone();
-        closing.push(async move { (name, process.close().await) });
+        shutdowns.push(async move { (name, process.close().await) });
     }
-    for (name, status) in join_all(closing).await {
+    for (name, status) in join_all(shutdowns).await {
         let status = status?;
         if !status.success() {
             return Err(StackError::NotReached {
-                what: format!("{name} exits with success, not {status}"),
+                what: format!("exit of {name} with success; it exited with {status}"),
             });
         }
     }
--- a/crates/fakes/src/stack/traffic.rs
+++ b/crates/fakes/src/stack/traffic.rs
@@ -1,4 +1,4 @@
-//! Steady requests whose answers are all checked.
+//! Steady load whose responses are all checked.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,32 +12,32 @@
 };
 use crate::upstream::engine;
 
-/// Tokens that the pipeline of the small document generates.
+/// Number of tokens that the `draft` pipeline of the small document generates.
 pub const DRAFT_TOKENS: usize = 24;
 
-/// Result of one request.
+/// Result of checking the response to one request.
 #[derive(Clone, Debug, PartialEq)]
 pub enum ResponseCheck {
-    /// The whole answer to this very request.
+    /// The complete and correct response to this request.
     Complete,
-    /// A refusal that says that the request was not run, with the request identifier.
+    /// A refusal with the outcome `not_run` and a time to retry; holds the request ID.
     NotRun(String),
-    /// Anything else.
+    /// Any other response or a broken exchange; holds a description.
     Unexpected(String),
 }
 
-/// Results of all requests.
+/// Checked responses to all requests of a load.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub struct CheckedResponses {
-    /// Requests that got their whole answer.
+    /// Number of requests with a complete and correct response.
     pub complete: usize,
-    /// Identifiers of the requests that were refused as not run.
+    /// IDs of the requests that were refused with the outcome `not_run`.
     pub not_run: Vec<String>,
-    /// What the others got.
+    /// Descriptions of the results of all other requests.
     pub unexpected: Vec<String>,
 }
 
-/// Steady requests to a plain service, alternating between entries.
+/// Steady load on a plain service, alternating between entries.
 #[derive(Debug)]
 pub struct SteadyTraffic {
     stop: CancellationToken,
@@ -45,30 +45,31 @@
 }
 
 impl SteadyTraffic {
-    /// Starts to send one request every `interval`.
+    /// Starts sending one request every `interval`.
     pub fn start(caller: Caller, entries: Vec<SocketAddr>, interval: Duration) -> Self {
         let stop = CancellationToken::new();
         let task = tokio::spawn(send_all(caller, entries, interval, stop.clone()));
         Self { stop, task }
     }
 
-    /// Sends no more requests and waits for the answers to all that were sent.
+    /// Stops sending and waits for the responses to all requests that were sent.
     ///
     /// # Panics
     ///
-    /// Panics when the sending task has failed.
+    /// Panics when the task that sends the requests has panicked.
     pub async fn close(self) -> CheckedResponses {
         self.stop.cancel();
-        self.task.await.expect("the sending task ends")
+        self.task.await.expect("the sending task does not panic")
     }
 }
 
 impl CheckedResponses {
-    /// Checks that no request was lost and that none that was refused as not run has run.
+    /// Checks that every response was complete or a `not_run` refusal, and that no upstream ran a
+    /// request that was refused with `not_run`.
     ///
     /// # Errors
     ///
-    /// Returns an error when a stand-in does not answer.
+    /// Returns an error when a stand-in does not response.
     ///
     /// # Panics
     ///
@@ -79,14 +80,17 @@
         for pair in &stack.upstreams {
             let record = stack.record(pair).await?;
             for id in &self.not_run {
-                assert!(!record.runs_by_request.contains_key(id), "{id} ran and was `not_run`");
+                assert!(
+                    !record.runs_by_request.contains_key(id),
+                    "request {id} was refused with `not_run` but ran"
+                );
             }
         }
         Ok(())
     }
 
-    fn add(&mut self, verdict: ResponseCheck) {
-        match verdict {
+    fn add(&mut self, check: ResponseCheck) {
+        match check {
             ResponseCheck::Complete => self.complete += 1,
             ResponseCheck::NotRun(id) => self.not_run.push(id),
             ResponseCheck::Unexpected(what) => self.unexpected.push(what),
@@ -108,40 +112,40 @@
         number += 1;
         tokio::time::sleep(interval).await;
     }
-    let mut tally = CheckedResponses::default();
-    for verdict in requests.join_all().await {
-        tally.add(verdict);
+    let mut responses = CheckedResponses::default();
+    for check in requests.join_all().await {
+        responses.add(check);
     }
-    tally
+    responses
 }
 
-/// Reads one work order and judges the answer.
+/// Requests one work order and checks the response.
 pub async fn read_order(caller: &Caller, entry: SocketAddr, number: usize) -> ResponseCheck {
     let path = format!("/orders/{number}");
-    let answer =
+    let response =
         caller.send(entry, "GET", &format!("/v1/services/work-orders{path}"), &[], "").await;
-    match answer {
-        Ok(answer) => check_response(&answer, &engine::serve_call("GET", &path, "")),
+    match response {
+        Ok(response) => check_response(&response, &engine::serve_call("GET", &path, "")),
         Err(error) => ResponseCheck::Unexpected(error.to_string()),
     }
 }
 
-/// Judges the answer to a request whose whole answer is `expected`.
-pub fn check_response(answer: &ReceivedResponse, expected: &Value) -> ResponseCheck {
-    if answer.status == 200 && answer.body == *expected {
+/// Checks a response against the expected body.
+pub fn check_response(response: &ReceivedResponse, expected: &Value) -> ResponseCheck {
+    if response.status == 200 && response.body == *expected {
         return ResponseCheck::Complete;
     }
-    let can_retry = answer.headers.contains_key("retry-after");
-    if answer.body["outcome"] == "not_run" && can_retry {
-        let id = answer.body["request_id"].as_str().unwrap_or_default();
+    let can_retry = response.headers.contains_key("retry-after");
+    if response.body["outcome"] == "not_run" && can_retry {
+        let id = response.body["request_id"].as_str().unwrap_or_default();
         return ResponseCheck::NotRun(id.to_owned());
     }
-    ResponseCheck::Unexpected(format!("{} {}", answer.status, answer.body))
+    ResponseCheck::Unexpected(format!("{} {}", response.status, response.body))
 }
 
-/// Tells whether a streamed draft for an input is whole.
-pub fn is_complete_draft(answer: &StreamedResponse, input: &str) -> bool {
+/// Returns whether a streamed draft is the complete one for an input.
+pub fn is_complete_draft(response: &StreamedResponse, input: &str) -> bool {
     let expected = engine::generate(input, DRAFT_TOKENS).concat();
-    let done = answer.done.as_ref();
-    answer.text == expected && done.is_some_and(|it| it["output"]["text"] == expected)
+    let done = response.done.as_ref();
+    response.text == expected && done.is_some_and(|it| it["output"]["text"] == expected)
 }
