--- a/crates/fakes/tests/configuration.rs
+++ b/crates/fakes/tests/configuration.rs
@@ -10,12 +10,12 @@
     platform::Outage,
     stack::{
         caller::Caller,
-        link::Link,
-        operate::start_entry_at,
+        fault_proxy::FaultProxy,
+        operator::start_entry_with_peer_address,
         plan::StackPlan,
         process::{Process, Signal},
-        run::{Stack, promote, start_agent},
-        traffic::{Verdict, read_order},
+        run::{Stack, start_agent, write_initial_config},
+        traffic::{ResponseCheck, read_order},
     },
 };
 use yuccatrail_platform::{Client, ClientSettings};
@@ -115,7 +115,7 @@
         environment: "trial".to_owned(),
         ..ClientSettings::default()
     });
-    promote(&trial, 1, document).await.expect("in trial");
+    write_initial_config(&trial, 1, document).await.expect("in trial");
     Digest::of(document.as_bytes()).to_string()
 }
 
@@ -135,7 +135,8 @@
     let peer = entry.admin_address.expect("a peer address").to_string();
     let name = entry.name.clone();
     entry.kill().await.expect("killed");
-    let entry = start_entry_at(&name, "north", NOWHERE, &peer).await.expect("an entry");
+    let entry =
+        start_entry_with_peer_address(&name, "north", NOWHERE, &peer).await.expect("an entry");
     let address = entry.address;
     stack.entries.push(entry);
     address
@@ -146,17 +147,17 @@
     let plan = StackPlan::small(&["north"], &["north", "south"]).only_pool("work-orders");
     let document = plan.document.replace("estimate_ms = 20", "estimate_ms = 21");
     let mut stack = Stack::start(plan).await.expect("the stack starts");
-    let relay = Link::open(stack.platform.address).await.expect("a relay");
-    stack.add_entry("north", relay.address()).await.expect("a second entry");
+    let proxy = FaultProxy::open(stack.platform.address).await.expect("a proxy");
+    stack.add_entry("north", proxy.address()).await.expect("a second entry");
     stack.add_entry("north", stack.platform.address).await.expect("a third entry");
-    stack.list_entries(&["north"; 3]).await.expect("the entries know each other");
+    stack.register_entries(&["north"; 3]).await.expect("the entries know each other");
     let entries: Arc<[SocketAddr]> = stack.entries.iter().map(|it| it.address).collect();
     let sampler = Sampler::start(entries.to_vec());
-    stack.accepted(&["data-centre", "out", "south"]).await.expect("accepted");
+    stack.run_accepted_command(&["data-centre", "out", "south"]).await.expect("accepted");
     let digest = put_into_trial(&stack, &document).await;
 
-    relay.close();
-    stack.accepted(&["promote", "--digest", &digest]).await.expect("accepted");
+    proxy.close();
+    stack.run_accepted_command(&["promote", "--digest", &digest]).await.expect("accepted");
     let deadline = Instant::now() + IN_FORCE_WITHIN;
     stack.set_outage(Some(Outage::Reset)).await.expect("an outage");
     wait_in_force(&entries, 2, 2, deadline).await;
@@ -172,7 +173,7 @@
     for number in 0..20 {
         let entry = [entries[0], entries[1], restarted][number % 3];
         let verdict = read_order(&stack.caller, entry, number).await;
-        assert_eq!(verdict, Verdict::Whole);
+        assert_eq!(verdict, ResponseCheck::Complete);
     }
     assert_eq!(stack.calls_in("south").await.unwrap(), before);
     stack.close().await.expect("a clean stop");
@@ -180,10 +181,12 @@
 
 #[tokio::test(flavor = "multi_thread")]
 async fn an_entry_and_an_agent_that_never_held_a_version_serve_nothing() {
-    let entry = start_entry_at("entry", "north", NOWHERE, "127.0.0.1:0").await.expect("an entry");
+    let entry = start_entry_with_peer_address("entry", "north", NOWHERE, "127.0.0.1:0")
+        .await
+        .expect("an entry");
     let caller = Caller::new("lone-star");
     let verdict = read_order(&caller, entry.address, 0).await;
-    assert!(matches!(verdict, Verdict::NotRun(_)), "{verdict:?}");
+    assert!(matches!(verdict, ResponseCheck::NotRun(_)), "{verdict:?}");
     let ready = caller.send(entry.address, "GET", "/readyz", &[], "").await.expect("an answer");
     assert_eq!(ready.status, 503);
     stop(entry).await;
--- a/crates/fakes/tests/early_refusal.rs
+++ b/crates/fakes/tests/early_refusal.rs
@@ -3,7 +3,9 @@
 use std::time::Duration;
 
 use futures::future::{Either, select};
-use yuccatrail_fakes::stack::{caller::Answer, faults::Verdict, plan::StackPlan, run::Stack};
+use yuccatrail_fakes::stack::{
+    caller::ReceivedResponse, faults::ReportedOutcome, plan::StackPlan, run::Stack,
+};
 
 /// Declared estimate of a call, which exceeds the deadline that the callers ask for.
 const ESTIMATE: &str = "estimate_ms = 15000";
@@ -17,7 +19,9 @@
 const LONG_CALL_MS: u64 = 8_000;
 
 /// Returns the answer if it comes before half of the deadline.
-async fn early<E: std::fmt::Debug>(call: impl Future<Output = Result<Answer, E>>) -> Answer {
+async fn early<E: std::fmt::Debug>(
+    call: impl Future<Output = Result<ReceivedResponse, E>>,
+) -> ReceivedResponse {
     let limit = tokio::time::sleep(HALF_DEADLINE);
     match select(Box::pin(call), Box::pin(limit)).await {
         Either::Left((answer, _)) => answer.expect("an answer"),
@@ -25,13 +29,18 @@
     }
 }
 
-async fn check(stack: &Stack, answer: &Answer) {
-    assert_eq!(Verdict::of_problem(&answer.body), Verdict::NotRun, "{}", answer.body);
+async fn check(stack: &Stack, answer: &ReceivedResponse) {
+    assert_eq!(
+        ReportedOutcome::of_problem(&answer.body),
+        ReportedOutcome::NotRun,
+        "{}",
+        answer.body
+    );
     assert_eq!(answer.body["reason"], "deadline_unreachable", "{}", answer.body);
     assert!(answer.headers.contains_key("retry-after"));
     let request = answer.body["request_id"].as_str().expect("a request id");
     let calls = stack.calls().await.expect("the records of the upstreams");
-    assert_eq!(calls.for_request(request), 0);
+    assert_eq!(calls.count_for_request(request), 0);
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -62,7 +71,7 @@
     plan.document = plan.document.replace("cold_concurrency = 2", "cold_concurrency = 1");
     plan.document = plan.document.replace("estimate_ms = 20\n", "estimate_ms = 8000\n");
     plan.document = plan.document.replace("deadline_ms = 20000", "deadline_ms = 60000");
-    plan.switch_pool("work-orders", |it| it.delay_ms = LONG_CALL_MS);
+    plan.change_pool_switches("work-orders", |it| it.delay_ms = LONG_CALL_MS);
     let stack = Stack::start(plan).await.expect("the stack starts");
     let (caller, entry) = (stack.caller.clone(), stack.entry(0));
     let busy = tokio::spawn(async move { caller.search(entry, "busy", &[]).await });
--- a/crates/fakes/tests/planned_stop.rs
+++ b/crates/fakes/tests/planned_stop.rs
@@ -9,7 +9,7 @@
     plan::StackPlan,
     process::Signal,
     run::Stack,
-    traffic::{Traffic, Verdict, is_whole_draft, read_order},
+    traffic::{ResponseCheck, SteadyTraffic, is_complete_draft, read_order},
 };
 
 /// Requests in progress when an entry is told to stop.
@@ -31,8 +31,8 @@
     plan.upstreams.retain(|it| it.name != "engines-south");
     let limits = format!("concurrency = {concurrency}\ncold_concurrency = {concurrency}");
     plan.document = plan.document.replace("concurrency = 32\ncold_concurrency = 2", &limits);
-    plan.switch_pool("engines", |it| it.token_delay_ms = 150);
-    plan.switch_pool("work-orders", |it| it.delay_ms = delay_ms);
+    plan.change_pool_switches("engines", |it| it.token_delay_ms = 150);
+    plan.change_pool_switches("work-orders", |it| it.delay_ms = delay_ms);
     Stack::start(plan).await.expect("the stack starts")
 }
 
@@ -62,11 +62,11 @@
         entry.signal(Signal::Terminate).await.expect("a signal");
         wait_not_ready(&caller, address).await;
         let refused = read_order(&caller, address, REQUESTS).await;
-        assert!(matches!(refused, Verdict::NotRun(_)), "{refused:?}");
+        assert!(matches!(refused, ResponseCheck::NotRun(_)), "{refused:?}");
     };
     let (plain, streamed, ()) = tokio::join!(join_all(plain), streamed, stopped);
-    assert_eq!(plain, vec![Verdict::Whole; REQUESTS]);
-    assert!(is_whole_draft(&streamed.expect("a stream"), "long dispute"));
+    assert_eq!(plain, vec![ResponseCheck::Complete; REQUESTS]);
+    assert!(is_complete_draft(&streamed.expect("a stream"), "long dispute"));
     let status = entry.close().await.expect("the entry stops");
     assert_eq!(status.code(), Some(0));
     stack.close().await.expect("a clean stop");
@@ -78,14 +78,14 @@
     let mut stack = start(2, 150).await;
     let caller = Caller::new("lone-star");
     let entries: Vec<SocketAddr> = stack.entries.iter().map(|it| it.address).collect();
-    let traffic = Traffic::start(caller.clone(), entries.clone(), INTERVAL);
+    let traffic = SteadyTraffic::start(caller.clone(), entries.clone(), INTERVAL);
     let streamed = caller.pipeline_stream(entries[0], "draft", "long dispute");
     // The steady traffic alone leaves it to chance whether a queue stands when the test looks.
     let burst = join_all((0..BURST).map(|it| read_order(&caller, entries[0], FIRST_OF_BURST + it)));
     let stopped = async {
-        let engine = stack.position("engines-north").expect("an engine");
+        let engine = stack.upstream_index("engines-north").expect("an engine");
         stack.wait_calls_running(engine, 1).await.expect("the stream runs");
-        let orders = stack.position("work-orders-north").expect("an upstream");
+        let orders = stack.upstream_index("work-orders-north").expect("an upstream");
         // Every call slot is taken and further calls wait in the agent.
         let has_queue = |it: &serde_json::Value| {
             let mut upstreams = it["upstreams"].as_array().into_iter().flatten();
@@ -101,9 +101,12 @@
     };
     let (streamed, burst, (before, orders)) = tokio::join!(streamed, burst, stopped);
     for verdict in burst {
-        assert!(matches!(verdict, Verdict::Whole | Verdict::NotRun(_)), "{verdict:?}");
+        assert!(
+            matches!(verdict, ResponseCheck::Complete | ResponseCheck::NotRun(_)),
+            "{verdict:?}"
+        );
     }
-    assert!(is_whole_draft(&streamed.expect("a stream"), "long dispute"));
+    assert!(is_complete_draft(&streamed.expect("a stream"), "long dispute"));
     let tally = traffic.close().await;
     let after = stack.record(&stack.upstreams[orders]).await.expect("a record").calls;
     assert_eq!(after, before);
--- a/crates/fakes/tests/platform_down.rs
+++ b/crates/fakes/tests/platform_down.rs
@@ -6,10 +6,10 @@
 use yuccatrail_fakes::{
     platform::Outage,
     stack::{
-        caller::{Answer, Caller},
+        caller::{Caller, ReceivedResponse},
         plan::StackPlan,
         run::Stack,
-        traffic::{Verdict, is_whole_draft, read_order},
+        traffic::{ResponseCheck, is_complete_draft, read_order},
     },
 };
 
@@ -23,7 +23,7 @@
 /// Keeps one stack at a time on the machine.
 static ONE_STACK: Mutex<()> = Mutex::const_new(());
 
-async fn book(stack: &Stack, key: &str) -> Answer {
+async fn book(stack: &Stack, key: &str) -> ReceivedResponse {
     let caller = Caller::new("lone-star");
     let headers = [("idempotency-key", key)];
     let path = "/v1/services/work-orders/notices";
@@ -63,8 +63,8 @@
     for number in 0..REQUESTS {
         let input = format!("question {number}");
         let draft = caller.pipeline_stream(stack.entry(0), "draft", &input).await;
-        assert!(is_whole_draft(&draft.expect("a stream"), &input));
-        assert_eq!(read_order(&caller, stack.entry(0), number).await, Verdict::Whole);
+        assert!(is_complete_draft(&draft.expect("a stream"), &input));
+        assert_eq!(read_order(&caller, stack.entry(0), number).await, ResponseCheck::Complete);
     }
     for number in 0..2 {
         let key = format!("notice-{number}");
