--- a/crates/fakes/src/load/call.rs
+++ b/crates/fakes/src/load/call.rs
@@ -20,9 +20,9 @@
 
 /// How a call ended.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum CallOutcome {
     /// The whole expected answer arrived.
-    Right,
+    Correct,
     /// The system refused the request.
     Refused {
         /// Reason in the problem document.
@@ -42,7 +42,7 @@
     /// The call.
     pub call: PlannedCall,
     /// How it ended.
-    pub verdict: Verdict,
+    pub verdict: CallOutcome,
     /// Request identifier that the system gave, if it is known.
     pub request_id: Option<String>,
     /// Time from the intended start to the end, in microseconds.
@@ -109,7 +109,7 @@
     }
 }
 
-type Judged = (Verdict, Option<String>);
+type Judged = (CallOutcome, Option<String>);
 
 async fn pipeline_plain(caller: &Caller, entry: SocketAddr, call: &PlannedCall) -> Judged {
     let input = call.input();
@@ -127,20 +127,20 @@
     let on_text = |_: &str| arrivals.note(Instant::now());
     let streamed = match caller.pipeline_stream_observed(entry, PIPELINE, &input, on_text).await {
         Ok(streamed) => streamed,
-        Err(error) => return (Verdict::Broken(error.detail), None),
+        Err(error) => return (CallOutcome::Broken(error.detail), None),
     };
     if let Some(problem) = streamed.problem {
         return (refused(&problem), text(&problem, "request_id"));
     }
     let Some(done) = streamed.done else {
-        return (Verdict::Broken("the stream ended without its final event".to_owned()), None);
+        return (CallOutcome::Broken("the stream ended without its final event".to_owned()), None);
     };
     let id = text(&done, "request_id");
     let expected = expected_output(&input);
     if done["output"] == expected && expected["text"] == streamed.text.as_str() {
-        return (Verdict::Right, id);
+        return (CallOutcome::Correct, id);
     }
-    (Verdict::Wrong(format!("stream for {input:?}: {done} after {:?}", streamed.text)), id)
+    (CallOutcome::Wrong(format!("stream for {input:?}: {done} after {:?}", streamed.text)), id)
 }
 
 async fn service_read(caller: &Caller, entry: SocketAddr, call: &PlannedCall) -> Judged {
@@ -167,23 +167,23 @@
 fn judge(answer: Result<Answer, CallerError>, is_right: impl FnOnce(&Value) -> bool) -> Judged {
     let answer = match answer {
         Ok(answer) => answer,
-        Err(error) => return (Verdict::Broken(error.detail), None),
+        Err(error) => return (CallOutcome::Broken(error.detail), None),
     };
     let id = answer.headers.get("x-request-id").and_then(|it| it.to_str().ok()).map(str::to_owned);
     if answer.status != 200 {
         return (refused(&answer.body), id);
     }
     if is_right(&answer.body) {
-        return (Verdict::Right, id);
+        return (CallOutcome::Correct, id);
     }
-    (Verdict::Wrong(format!("unexpected answer {}", answer.body)), id)
+    (CallOutcome::Wrong(format!("unexpected answer {}", answer.body)), id)
 }
 
 /// Reads a problem document.
-fn refused(problem: &Value) -> Verdict {
+fn refused(problem: &Value) -> CallOutcome {
     match (text(problem, "reason"), text(problem, "outcome")) {
-        (Some(reason), Some(outcome)) => Verdict::Refused { reason, outcome },
-        _ => Verdict::Broken(format!("no problem document: {problem}")),
+        (Some(reason), Some(outcome)) => CallOutcome::Refused { reason, outcome },
+        _ => CallOutcome::Broken(format!("no problem document: {problem}")),
     }
 }
 
--- a/crates/fakes/src/load/tally.rs
+++ b/crates/fakes/src/load/tally.rs
@@ -5,7 +5,7 @@
 use hdrhistogram::Histogram;
 
 use super::{
-    call::{Observation, Verdict},
+    call::{CallOutcome, Observation},
     plan::CallKind,
 };
 
@@ -58,7 +58,7 @@
     /// Right answers after the deadline.
     pub late: u64,
     /// Right answers by kind of call.
-    pub right_by_kind: BTreeMap<CallKind, u64>,
+    pub correct_by_kind: BTreeMap<CallKind, u64>,
     /// Refused requests.
     pub refused: BTreeMap<RefusalKind, u64>,
     /// Complete answers that are not the expected ones.
@@ -90,7 +90,7 @@
             unsent: 0,
             on_time: 0,
             late: 0,
-            right_by_kind: BTreeMap::new(),
+            correct_by_kind: BTreeMap::new(),
             refused: BTreeMap::new(),
             wrong: 0,
             broken: 0,
@@ -116,19 +116,19 @@
             self.token_gap_us.saturating_record(*gap_us);
         }
         match observation.verdict {
-            Verdict::Right => self.add_right(&observation),
-            Verdict::Refused { reason, outcome } => {
+            CallOutcome::Correct => self.add_correct(&observation),
+            CallOutcome::Refused { reason, outcome } => {
                 self.refusal_us.saturating_record(observation.latency_us);
                 if outcome == NOT_RUN {
                     self.not_run.extend(observation.request_id);
                 }
                 *self.refused.entry(RefusalKind { reason, outcome }).or_default() += 1;
             }
-            Verdict::Wrong(detail) => {
+            CallOutcome::Wrong(detail) => {
                 self.wrong += 1;
                 self.add_example(format!("wrong: {detail}"));
             }
-            Verdict::Broken(detail) => {
+            CallOutcome::Broken(detail) => {
                 self.broken += 1;
                 self.add_example(format!("broken: {detail}"));
             }
@@ -146,9 +146,9 @@
         self.refused.values().sum()
     }
 
-    fn add_right(&mut self, observation: &Observation) {
+    fn add_correct(&mut self, observation: &Observation) {
         self.latency_us.saturating_record(observation.latency_us);
-        *self.right_by_kind.entry(observation.call.kind).or_default() += 1;
+        *self.correct_by_kind.entry(observation.call.kind).or_default() += 1;
         let deadline_ms = match observation.call.kind {
             CallKind::PipelinePlain | CallKind::PipelineStreamed => self.deadlines.pipeline_ms,
             CallKind::ServiceRead | CallKind::ServiceWrite => self.deadlines.service_ms,
--- a/crates/fakes/src/scenarios/run.rs
+++ b/crates/fakes/src/scenarios/run.rs
@@ -99,7 +99,7 @@
 /// Counts the upstream calls that the right answers needed.
 fn useful_calls(tally: &Tally) -> u64 {
     let mut calls = 0;
-    for (kind, count) in &tally.right_by_kind {
+    for (kind, count) in &tally.correct_by_kind {
         let stages = match kind {
             CallKind::PipelinePlain | CallKind::PipelineStreamed => 4,
             CallKind::ServiceRead | CallKind::ServiceWrite => 1,
--- a/crates/fakes/tests/scenario_checks.rs
+++ b/crates/fakes/tests/scenario_checks.rs
@@ -2,7 +2,7 @@
 
 use yuccatrail_fakes::{
     load::{
-        call::{Observation, Verdict},
+        call::{CallOutcome, Observation},
         plan::{CallKind, PlannedCall},
         tally::{Deadlines, Tally},
     },
@@ -11,7 +11,7 @@
 
 const DEADLINES: Deadlines = Deadlines { pipeline_ms: 2_000, service_ms: 1_000 };
 
-fn observation(verdict: Verdict, latency_us: u64) -> Observation {
+fn observation(verdict: CallOutcome, latency_us: u64) -> Observation {
     let call = PlannedCall {
         number: 0,
         at_us: 0,
@@ -28,11 +28,11 @@
     }
 }
 
-fn refused(outcome: &str) -> Verdict {
-    Verdict::Refused { reason: "busy".to_owned(), outcome: outcome.to_owned() }
+fn refused(outcome: &str) -> CallOutcome {
+    CallOutcome::Refused { reason: "busy".to_owned(), outcome: outcome.to_owned() }
 }
 
-fn tally_of(verdict: Verdict) -> Tally {
+fn tally_of(verdict: CallOutcome) -> Tally {
     let mut tally = Tally::new(DEADLINES);
     tally.add(observation(verdict, 10));
     tally
@@ -51,7 +51,7 @@
 fn doubled_run_is_found() {
     let mut totals = Totals::default();
     totals.runs_by_key.insert("key-1".to_owned(), 2);
-    let found = violations(&tally_of(Verdict::Right), &totals, &Driven::default());
+    let found = violations(&tally_of(CallOutcome::Correct), &totals, &Driven::default());
     assert!(found.iter().any(|it| it.contains("key-1")));
 }
 
@@ -66,7 +66,7 @@
 
 #[test]
 fn wrong_and_broken_answers_are_found() {
-    for verdict in [Verdict::Wrong("text".to_owned()), Verdict::Broken("cut".to_owned())] {
+    for verdict in [CallOutcome::Wrong("text".to_owned()), CallOutcome::Broken("cut".to_owned())] {
         let found = violations(&tally_of(verdict), &Totals::default(), &Driven::default());
         assert!(!found.is_empty());
     }
@@ -75,16 +75,16 @@
 #[test]
 fn overloads_and_calls_in_a_data_centre_that_is_out_are_found() {
     let totals = Totals { overloads: 1, ..Totals::default() };
-    assert_eq!(violations(&tally_of(Verdict::Right), &totals, &Driven::default()).len(), 1);
+    assert_eq!(violations(&tally_of(CallOutcome::Correct), &totals, &Driven::default()).len(), 1);
     let driven = Driven { calls_while_out: 1, ..Driven::default() };
-    assert_eq!(violations(&tally_of(Verdict::Right), &Totals::default(), &driven).len(), 1);
+    assert_eq!(violations(&tally_of(CallOutcome::Correct), &Totals::default(), &driven).len(), 1);
 }
 
 #[test]
 fn right_answer_after_the_deadline_is_late() {
     let mut tally = Tally::new(DEADLINES);
-    tally.add(observation(Verdict::Right, 999_999));
-    tally.add(observation(Verdict::Right, 1_000_001));
+    tally.add(observation(CallOutcome::Correct, 999_999));
+    tally.add(observation(CallOutcome::Correct, 1_000_001));
     assert_eq!((tally.on_time, tally.late), (1, 1));
     assert!((tally.attainment() - 0.5).abs() < 1e-9);
 }
