--- a/crates/fakes/src/commands/load.rs
+++ b/crates/fakes/src/commands/load.rs
@@ -64,7 +64,7 @@
         entries: arguments.entry,
         phases: vec![phase],
         seed: arguments.seed,
-        run: format!("load-{:08x}", rand::random::<u32>()),
+        key_prefix: format!("load-{:08x}", rand::random::<u32>()),
         deadlines: DEADLINES,
     };
     let report = LoadReport::of(&run::run(&settings).await);
--- a/crates/fakes/src/load/run.rs
+++ b/crates/fakes/src/load/run.rs
@@ -31,7 +31,7 @@
     /// Seed of the random numbers.
     pub seed: u64,
     /// Prefix of the idempotency keys, which has to be new for each run against a stack.
-    pub run: String,
+    pub key_prefix: String,
     /// Deadlines by which a right answer counts as on time.
     pub deadlines: Deadlines,
 }
@@ -40,7 +40,7 @@
 pub async fn run(settings: &LoadSettings) -> Tally {
     let calls = plan::plan(&settings.phases, settings.seed);
     let callers = callers(&calls);
-    let run: Arc<str> = settings.run.as_str().into();
+    let run: Arc<str> = settings.key_prefix.as_str().into();
     let mut tally = Tally::new(settings.deadlines);
     let mut tasks: JoinSet<Observation> = JoinSet::new();
     let start = Instant::now();
--- a/crates/fakes/src/scenarios/run.rs
+++ b/crates/fakes/src/scenarios/run.rs
@@ -38,7 +38,7 @@
         entries: stack.entries.iter().map(|it| it.address).collect(),
         phases: scenario.phases.clone(),
         seed,
-        run: scenario.name.to_owned(),
+        key_prefix: scenario.name.to_owned(),
         deadlines: scenario.deadlines,
     };
     let load = tokio::spawn(async move { run::run(&settings).await });
--- a/crates/fakes/tests/load_run.rs
+++ b/crates/fakes/tests/load_run.rs
@@ -19,7 +19,7 @@
         entries: vec![stack.entry(0)],
         phases: vec![Phase { seconds: 1.0, rate_per_second: 20.0, mix: Mix::demo() }],
         seed: 1,
-        run: "load-run".to_owned(),
+        key_prefix: "load-run".to_owned(),
         deadlines: Deadlines { pipeline_ms: 8_000, service_ms: 4_000 },
     };
     let tally = run::run(&settings).await;
