--- a/crates/fakes/src/scenarios/run.rs
+++ b/crates/fakes/src/scenarios/run.rs
@@ -38,7 +38,7 @@
         entries: stack.entries.iter().map(|it| it.address).collect(),
         phases: scenario.phases.clone(),
         seed,
-        run: scenario.name.to_owned(),
+        key_prefix: scenario.name.to_owned(),
         deadlines: scenario.deadlines,
     };
     let load = tokio::spawn(async move { run::run(&settings).await });
@@ -99,7 +99,7 @@
 /// Counts the upstream calls that the right answers needed.
 fn useful_calls(tally: &Tally) -> u64 {
     let mut calls = 0;
-    for (kind, count) in &tally.right_by_kind {
+    for (kind, count) in &tally.correct_by_kind {
         let stages = match kind {
             CallKind::PipelinePlain | CallKind::PipelineStreamed => 4,
             CallKind::ServiceRead | CallKind::ServiceWrite => 1,
