--- a/crates/fakes/src/scenarios/list.rs
+++ b/crates/fakes/src/scenarios/list.rs
@@ -8,7 +8,7 @@
     },
     platform,
     stack::plan::{DEMO_DOCUMENT, StackPlan},
-    upstream::state::Switches,
+    upstream::state::UpstreamSwitches,
 };
 
 /// Time that each call takes at a stand-in, in milliseconds.
@@ -77,7 +77,7 @@
 }
 
 fn slow_stage() -> Scenario {
-    let slow = Switches { delay_ms: SLOW_DELAY_MS, ..Switches::default() };
+    let slow = UpstreamSwitches { delay_ms: SLOW_DELAY_MS, ..UpstreamSwitches::default() };
     let action = Action::Switch { pool: "rerankers", count: 1, switches: slow };
     let events = vec![Event::new(1_500, action)];
     scenario("slow-stage", MORE_UPSTREAMS, vec![phase(7.0, STEADY_RATE)], events)
@@ -86,7 +86,7 @@
 fn cold_pool() -> Scenario {
     let events = vec![Event::new(2_000, Action::TurnCold("engines"))];
     let mut scenario = scenario("cold-pool", UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events);
-    scenario.stack.switch_pool("engines", |it| {
+    scenario.stack.change_pool_switches("engines", |it| {
         it.cold_bearable = COLD_BEARABLE;
         it.cold_calls = COLD_CALLS;
     });
@@ -102,7 +102,10 @@
 }
 
 fn platform_down(name: &'static str, outage: platform::Outage) -> Scenario {
-    let down = platform::Switches { outage: Some(outage), ..platform::Switches::default() };
+    let down = platform::PlatformSwitches {
+        outage: Some(outage),
+        ..platform::PlatformSwitches::default()
+    };
     let events = vec![Event::new(0, Action::Platform(down))];
     scenario(name, UPSTREAMS, vec![phase(6.0, STEADY_RATE)], events)
 }
@@ -119,7 +122,7 @@
     let resend = Action::Resend { input: POISON, times: 6 };
     let events = vec![Event::new(1_500, resend)];
     let mut scenario = scenario("poison", MORE_UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events);
-    scenario.stack.switch_pool("engines", |it| it.crash_on = Some(POISON.to_owned()));
+    scenario.stack.change_pool_switches("engines", |it| it.crash_on = Some(POISON.to_owned()));
     scenario
 }
 
@@ -132,7 +135,7 @@
     let mut stack = StackPlan::sized(ENTRIES, upstreams);
     stack.document = document();
     for pool in POOLS {
-        stack.switch_pool(pool, |it| {
+        stack.change_pool_switches(pool, |it| {
             it.delay_ms = DELAY_MS;
             it.token_delay_ms = TOKEN_DELAY_MS;
         });
--- a/crates/fakes/tests/whole_answers.rs
+++ b/crates/fakes/tests/whole_answers.rs
@@ -9,14 +9,14 @@
 use tokio::task::JoinHandle;
 use yuccatrail_fakes::{
     stack::{
-        caller::{Answer, CallerError, StreamedAnswer},
+        caller::{CallerError, ReceivedResponse, StreamedResponse},
         expected,
         faults::wait_until,
         plan::StackPlan,
         process::Signal,
         run::Stack,
     },
-    upstream::state::Switches,
+    upstream::state::UpstreamSwitches,
 };
 
 /// Rounds of each fault.
@@ -34,8 +34,8 @@
 
 /// Requests on their way.
 struct Traffic {
-    plain: Vec<(String, JoinHandle<Result<Answer, CallerError>>)>,
-    streamed: Vec<(String, JoinHandle<Result<StreamedAnswer, CallerError>>)>,
+    plain: Vec<(String, JoinHandle<Result<ReceivedResponse, CallerError>>)>,
+    streamed: Vec<(String, JoinHandle<Result<StreamedResponse, CallerError>>)>,
 }
 
 /// What became of the streams.
@@ -93,7 +93,7 @@
 
 async fn start() -> Stack {
     let mut plan = StackPlan::short(&[("encoders", 1), ("engines", 2)]);
-    plan.switch_pool("engines", |it| it.token_delay_ms = TOKEN_DELAY_MS);
+    plan.change_pool_switches("engines", |it| it.token_delay_ms = TOKEN_DELAY_MS);
     Stack::start(plan).await.expect("the stack starts")
 }
 
@@ -129,18 +129,20 @@
 #[tokio::test(flavor = "multi_thread")]
 async fn answers_resume_after_cut_connections() {
     let stack = start().await;
-    let relays =
-        [stack.interpose(1).await.expect("a relay"), stack.interpose(2).await.expect("a relay")];
+    let proxies = [
+        stack.insert_proxy(1).await.expect("a proxy"),
+        stack.insert_proxy(2).await.expect("a proxy"),
+    ];
     for round in 0..ROUNDS {
         let (traffic, _) = send_and_wait_for_output(&stack, &round.to_string()).await;
-        for relay in &relays {
-            relay.cut();
+        for proxy in &proxies {
+            proxy.close_connections();
         }
         let streams = traffic.check().await;
         assert_eq!(streams, Streams { whole: REQUESTS * 2, cut: 0 });
     }
-    for relay in relays {
-        relay.close();
+    for proxy in proxies {
+        proxy.close();
     }
 }
 
@@ -175,13 +177,13 @@
     let stack = start().await;
     let pair = &stack.upstreams[1];
     let cutting =
-        Switches { cut_after_tokens: Some(CUT_AFTER_TOKENS), ..pair.plan.switches.clone() };
+        UpstreamSwitches { cut_after_tokens: Some(CUT_AFTER_TOKENS), ..pair.plan.switches.clone() };
     let mut cut = 0;
     for round in 0..ROUNDS {
         warm_up(&stack).await;
-        stack.switch(pair, &cutting).await.expect("switches");
+        stack.set_upstream_switches(pair, &cutting).await.expect("switches");
         cut += Traffic::send(&stack, &round.to_string()).check().await.cut;
-        stack.switch(pair, &pair.plan.switches).await.expect("switches");
+        stack.set_upstream_switches(pair, &pair.plan.switches).await.expect("switches");
     }
     assert!(cut > 0, "no stream was cut");
 }
