--- a/crates/fakes/src/platform/admin.rs
+++ b/crates/fakes/src/platform/admin.rs
@@ -1,4 +1,4 @@
-//! Admin path that sets switches and reads counters.
+//! Admin API: sets switches, reads counters and compacts the history.
 
 use http_body_util::BodyExt;
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
@@ -10,10 +10,10 @@
     status::{Body, failure, json_response},
 };
 
-/// Prefix of the admin paths.
+/// Prefix of the paths of the admin API; faults do not affect these.
 pub(crate) const PREFIX: &str = "/fake/";
 
-/// Handles an admin call.
+/// Handles a request to the admin API.
 pub(crate) async fn handle(shared: &Shared, request: Request<Incoming>) -> Response<Body> {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
--- a/crates/fakes/src/platform/api.rs
+++ b/crates/fakes/src/platform/api.rs
@@ -1,4 +1,4 @@
-//! Calls of the object API.
+//! Object API: reads, conditional writes and watches, subject to the configured faults.
 
 use std::{
     sync::Arc,
@@ -14,21 +14,22 @@
 use super::{
     Outage,
     server::Shared,
-    status::{Body, ConnectionAbort, failure, json_response, refused, retry_later},
+    status::{Body, ConnectionAbort, error_response, failure, json_response, retry_later},
     store::{Collection, StoreError},
     watch,
 };
 
-/// Room for the delete options or an oversized value, in bytes, so that its size can be reported.
+/// Largest body that is read, in bytes. It exceeds the largest value so that a body with delete
+/// options, or one somewhat too large, is read completely and refused with a proper status.
 const MAX_BODY_BYTES: usize = 2 * MAX_VALUE_BYTES;
 
-/// What a path names.
+/// Collection, or object in a collection, that a path names.
 struct Target {
     collection: Collection,
     name: Option<String>,
 }
 
-/// Handles a call, with the faults that are switched on.
+/// Handles a call, subject to the faults that are switched on and the rate limits.
 pub(crate) async fn handle(
     shared: Arc<Shared>,
     request: Request<Incoming>,
@@ -78,7 +79,7 @@
     }
 }
 
-/// Counts a call and tells whether the rate limit allows it.
+/// Counts a call and returns whether the rate limit admits it.
 fn admit(shared: &Shared, call: CallKind) -> bool {
     let mut state = shared.state();
     let now = Instant::now();
@@ -126,7 +127,7 @@
     };
     match state.store.get(&target.collection, name, as_of) {
         Some(object) => json_response(StatusCode::OK, &object),
-        None => refused(StoreError::NotFound, name),
+        None => error_response(StoreError::NotFound, name),
     }
 }
 
@@ -155,7 +156,7 @@
     failure(StatusCode::PAYLOAD_TOO_LARGE, "RequestEntityTooLarge", &message)
 }
 
-/// Takes one answer off the number that is to be lost.
+/// Returns whether the response to this write has to be lost, and counts it off if so.
 fn take_lost_response(shared: &Shared) -> bool {
     let mut taken = false;
     shared.switches.send_if_modified(|switches| {
@@ -202,7 +203,7 @@
             shared.newest.send_replace(state.store.version());
             json_response(code, &value)
         }
-        Err(refusal) => refused(refusal, &format!("{}/{path_name}", target.collection.plural)),
+        Err(error) => error_response(error, &format!("{}/{path_name}", target.collection.plural)),
     }
 }
 
--- a/crates/fakes/src/platform/mod.rs
+++ b/crates/fakes/src/platform/mod.rs
@@ -1,8 +1,8 @@
-//! Stand-in of the platform's object API, with switches for its faults.
+//! Stand-in for the platform's object API, with switches for fault injection.
 //!
-//! It keeps objects in memory, answers conditional writes and watches, and limits the rate of calls.
-//! Tests run it in their own process and set its switches directly; other harnesses start the
-//! binary and set them over `/fake/...`.
+//! It keeps objects in memory, supports conditional writes and watches, and limits the rate of
+//! calls. Tests may run it within their own process and set its switches directly; other harnesses
+//! start the binary and set them over HTTP under `/fake/`.
 
 mod admin;
 mod api;
--- a/crates/fakes/src/platform/seed.rs
+++ b/crates/fakes/src/platform/seed.rs
@@ -1,4 +1,4 @@
-//! Objects that the stand-in starts with.
+//! Initial objects of the stand-in.
 
 use std::io;
 
@@ -9,22 +9,22 @@
 
 use super::store::Collection;
 
-/// Why a seed could not be read.
+/// Error in reading a seed.
 #[derive(Debug, Display, Error, From)]
 pub enum SeedError {
     /// The file could not be read.
     #[display("cannot read: {_0}")]
     Read(io::Error),
-    /// The file is not a list of objects.
+    /// The text is not a JSON list of objects of the API.
     #[display("not a list of objects: {_0}")]
     Parse(serde_json::Error),
-    /// An object has a kind that the system does not use.
+    /// An object has a kind that the system does not use; holds the kind.
     #[display("unknown kind {_0:?}")]
     #[from(skip)]
     UnknownKind(#[error(not(source))] String),
 }
 
-/// Objects that the stand-in starts with.
+/// Initial objects of the stand-in, each with its collection and name.
 #[derive(Debug, Default)]
 pub struct Seed {
     pub(crate) objects: Vec<(Collection, String, Value)>,
@@ -52,7 +52,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the text is no such list or an object has an unknown kind.
+    /// Returns an error when the text is not such a list or an object has an unknown kind.
     pub fn parse(json: &[u8]) -> Result<Self, SeedError> {
         let list: List = serde_json::from_slice(json)?;
         let mut objects = Vec::with_capacity(list.items.len());
--- a/crates/fakes/src/platform/server.rs
+++ b/crates/fakes/src/platform/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the stand-in and its handle.
+//! HTTP server of the stand-in, and the handle to control it.
 
 use std::{
     io,
@@ -29,9 +29,9 @@
 pub struct FakePlatformSettings {
     /// Address to listen on; port 0 selects a free port.
     pub listen: SocketAddr,
-    /// Reads and lists that are answered, in calls per second.
+    /// Rate limit for reads, lists and watches, in calls per second.
     pub reads_per_second: f64,
-    /// Writes that are taken, in calls per second.
+    /// Rate limit for writes, in calls per second.
     pub writes_per_second: f64,
 }
 
@@ -45,25 +45,25 @@
     }
 }
 
-/// A running stand-in.
+/// Handle of a running stand-in.
 #[derive(Debug)]
 pub struct FakePlatform {
     address: SocketAddr,
     shared: Arc<Shared>,
     cancel: CancellationToken,
-    accept: JoinHandle<()>,
+    accept_task: JoinHandle<()>,
 }
 
-/// State that all connections share.
+/// State that is shared by all connections.
 #[derive(Debug)]
 pub(crate) struct Shared {
     state: Mutex<State>,
     pub(crate) switches: watch::Sender<PlatformSwitches>,
-    /// Version of the newest change, which wakes watches.
+    /// Version of the newest change; waiting watches are woken when it is set.
     pub(crate) newest: watch::Sender<u64>,
 }
 
-/// Part of the state behind the lock.
+/// Part of the shared state that is protected by the lock.
 #[derive(Debug)]
 pub(crate) struct State {
     pub(crate) store: Store,
@@ -73,12 +73,12 @@
 }
 
 impl Shared {
-    /// Locks the state; it is never held across an await.
+    /// Locks the state; the lock must not be held across an await.
     pub(crate) fn state(&self) -> MutexGuard<'_, State> {
         self.state.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Returns the moment that a lagging view shows now.
+    /// Returns the time whose state a lagging collection shows at present.
     pub(crate) fn lagging_view_time(&self) -> Instant {
         let lag = Duration::from_millis(self.switches.borrow().instances_lag_ms);
         let now = Instant::now();
@@ -87,7 +87,7 @@
 }
 
 impl FakePlatform {
-    /// Starts to serve on the configured address.
+    /// Binds the configured address and starts serving.
     ///
     /// # Errors
     ///
@@ -108,27 +108,29 @@
             newest: watch::Sender::new(0),
         });
         let cancel = CancellationToken::new();
-        let accept = tokio::spawn(accept_all(listener, Arc::clone(&shared), cancel.clone()));
-        Ok(Self { address, shared, cancel, accept })
+        let accept_task =
+            tokio::spawn(accept_connections(listener, Arc::clone(&shared), cancel.clone()));
+        Ok(Self { address, shared, cancel, accept_task })
     }
 
-    /// Returns the address that the stand-in listens on.
+    /// Returns the address on which the stand-in listens.
     pub fn address(&self) -> SocketAddr {
         self.address
     }
 
-    /// Creates the objects of a seed; objects that exist already are left alone.
+    /// Creates the objects of a seed; objects that already exist are left unchanged.
     pub fn seed(&self, seed: Seed) {
         let now = Instant::now();
         let mut state = self.shared.state();
         for (collection, name, object) in seed.objects {
-            // An object that stands twice in the seed keeps its first form.
+            // Of objects with the same name, the first one is kept.
             let _ = state.store.create(&collection, &name, object, now);
         }
         self.shared.newest.send_replace(state.store.version());
     }
 
-    /// Creates or replaces an object past all switches, as another client that suffers no fault.
+    /// Creates or replaces an object regardless of the switches, like a client that no fault
+    /// affects.
     pub fn put(&self, kind: Kind, environment: &str, name: &str, spec: Value) {
         let collection = collection(kind, environment);
         let object = json!({
@@ -140,13 +142,14 @@
         let now = Instant::now();
         let mut state = self.shared.state();
         if state.store.create(&collection, name, object.clone(), now).is_err() {
-            // The object exists, and without a version any state of it may be replaced.
+            // The object exists. An update without a version replaces any state of it, so it
+            // succeeds.
             let _ = state.store.update(&collection, name, None, object, now);
         }
         self.shared.newest.send_replace(state.store.version());
     }
 
-    /// Deletes an object past all switches; does nothing if there is none.
+    /// Deletes an object regardless of the switches; does nothing if it does not exist.
     pub fn remove(&self, kind: Kind, environment: &str, name: &str) {
         let collection = collection(kind, environment);
         let mut state = self.shared.state();
@@ -154,7 +157,7 @@
         self.shared.newest.send_replace(state.store.version());
     }
 
-    /// Returns the switches as they stand.
+    /// Returns the current switches.
     pub fn switches(&self) -> PlatformSwitches {
         self.shared.switches.borrow().clone()
     }
@@ -164,12 +167,12 @@
         self.shared.switches.send_replace(switches);
     }
 
-    /// Returns the numbers of calls so far.
+    /// Returns the current counters.
     pub fn counters(&self) -> Counters {
         self.shared.state().counters
     }
 
-    /// Forgets the history, so that watches from an older version are answered with 410.
+    /// Discards the history of changes, so that watches from older versions fail with 410.
     pub fn compact(&self) {
         self.shared.state().store.compact();
     }
@@ -177,8 +180,8 @@
     /// Stops serving and closes every connection.
     pub async fn close(self) {
         self.cancel.cancel();
-        // The task ends by itself and its panic would have been reported already.
-        let _ = self.accept.await;
+        // Awaited only for its end: the panic hook has already reported a panic of the task.
+        let _ = self.accept_task.await;
     }
 }
 
@@ -186,29 +189,29 @@
     Collection { namespace: environment.to_owned(), plural: kind.plural().to_owned() }
 }
 
-async fn accept_all(listener: TcpListener, shared: Arc<Shared>, cancel: CancellationToken) {
+async fn accept_connections(listener: TcpListener, shared: Arc<Shared>, cancel: CancellationToken) {
     let tracker = TaskTracker::new();
     loop {
         let accepted = tokio::select! {
             () = cancel.cancelled() => break,
             accepted = listener.accept() => accepted,
         };
-        // A connection that was reset before it was accepted concerns nobody else.
+        // An error concerns only a connection that was reset before it was accepted.
         let Ok((stream, _)) = accepted else { continue };
-        tracker.spawn(serve(stream, Arc::clone(&shared), cancel.clone()));
+        tracker.spawn(serve_connection(stream, Arc::clone(&shared), cancel.clone()));
     }
     tracker.close();
     tracker.wait().await;
 }
 
-async fn serve(stream: TcpStream, shared: Arc<Shared>, cancel: CancellationToken) {
+async fn serve_connection(stream: TcpStream, shared: Arc<Shared>, cancel: CancellationToken) {
     let service = service_fn(move |request| handle(Arc::clone(&shared), request));
     let connection = http1::Builder::new()
         .timer(TokioTimer::new())
         .serve_connection(TokioIo::new(stream), service);
     tokio::select! {
         () = cancel.cancelled() => {}
-        // Clients close connections as they like.
+        // A client may close its connection at any time, so errors are ignored.
         _ = connection => {}
     }
 }
--- a/crates/fakes/src/platform/status.rs
+++ b/crates/fakes/src/platform/status.rs
@@ -1,4 +1,4 @@
-//! Answers in JSON, among them failures in the form of a `Status` object.
+//! JSON responses; failures are described by a `Status` object.
 
 use bytes::Bytes;
 use futures::TryStreamExt;
@@ -12,24 +12,24 @@
 
 use super::store::StoreError;
 
-/// Why the stand-in closes a connection instead of answering.
+/// Reason for closing a connection without a complete response.
 #[derive(Clone, Copy, Debug, derive_more::Display, derive_more::Error)]
 pub(crate) enum ConnectionAbort {
-    /// A switch asks for it.
+    /// A switch requests it.
     #[display("connection closed by a switch")]
     Requested,
 }
 
-/// Body of an answer.
+/// Body of a response; fails when the connection has to be closed.
 pub(crate) type Body = UnsyncBoxBody<Bytes, ConnectionAbort>;
 
-/// Answers with a JSON value.
+/// Returns a response with a JSON value.
 pub(crate) fn json_response(code: StatusCode, value: &Value) -> Response<Body> {
     let body = Full::new(Bytes::from(value.to_string())).map_err(|never| match never {});
     with_content_type(code, body.boxed_unsync())
 }
 
-/// Answers with a stream of lines.
+/// Returns a successful response whose body is a stream of lines.
 pub(crate) fn stream_response(
     lines: impl futures::Stream<Item = Result<Bytes, ConnectionAbort>> + Send + 'static,
 ) -> Response<Body> {
@@ -37,21 +37,21 @@
     with_content_type(StatusCode::OK, body.boxed_unsync())
 }
 
-/// Answers with a failure.
+/// Returns a response with a `Status` object for a failure.
 pub(crate) fn failure(code: StatusCode, reason: &str, message: &str) -> Response<Body> {
     json_response(code, &status_value(code, reason, message))
 }
 
-/// Answers with a failure that may be retried.
+/// Returns a failure with a `Retry-After` of one second.
 pub(crate) fn retry_later(code: StatusCode, reason: &str, message: &str) -> Response<Body> {
     let mut response = failure(code, reason, message);
     response.headers_mut().insert(RETRY_AFTER, HeaderValue::from_static("1"));
     response
 }
 
-/// Answers a write that the store refused.
-pub(crate) fn refused(refusal: StoreError, object: &str) -> Response<Body> {
-    match refusal {
+/// Returns the response for an error of the store.
+pub(crate) fn error_response(error: StoreError, object: &str) -> Response<Body> {
+    match error {
         StoreError::AlreadyExists => {
             let message = format!("{object} already exists");
             failure(StatusCode::CONFLICT, "AlreadyExists", &message)
--- a/crates/fakes/src/platform/store.rs
+++ b/crates/fakes/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Objects in memory with versions, conditional writes and a bounded history.
+//! In-memory object store with versions, conditional writes and a bounded history of changes.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -7,23 +7,24 @@
 
 use serde_json::Value;
 
-/// Number of changes that watches can be resumed over.
+/// Number of retained changes; a watch can be resumed only if all later changes are retained.
 const HISTORY_CHANGES: usize = 10_000;
 
-/// Time for which old states of lagging collections are kept.
+/// Time for which former states of lagging collections are kept; bounds the lag that can be served.
 const SNAPSHOT_RETENTION: Duration = Duration::from_secs(600);
 
-/// A collection of objects.
+/// Identifies a collection of objects: all of one kind in a namespace.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Collection {
-    /// Namespace of the objects.
+    /// Namespace of the objects; the name of the environment.
     pub(crate) namespace: String,
-    /// Plural name of the kind.
+    /// Plural name of the kind, as in paths.
     pub(crate) plural: String,
 }
 
 impl Collection {
-    /// Tells whether the collection shows the platform's lagging view of the fleet.
+    /// Returns whether reads and watches of the collection lag behind, as the platform's instance
+    /// list does.
     pub(crate) fn is_lagging(&self) -> bool {
         self.plural == "instances"
     }
@@ -44,11 +45,11 @@
     pub(crate) changed_at: Instant,
     pub(crate) collection: Collection,
     pub(crate) kind: ChangeKind,
-    /// The whole object; a deleted one in its last state, with the version of the deletion.
+    /// Object after the change; a deleted one in its last state, with the version of the deletion.
     pub(crate) object: Value,
 }
 
-/// Why a write was refused.
+/// Error of a read or write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum StoreError {
     AlreadyExists,
@@ -66,11 +67,11 @@
     objects: Objects,
 }
 
-/// The store.
+/// The object store; every change increments its version.
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     version: u64,
-    /// Version of the newest change that is no longer in `history`.
+    /// Version of the newest change that was dropped from `history`.
     compacted_version: u64,
     collections: BTreeMap<Collection, Objects>,
     history: VecDeque<Change>,
@@ -83,13 +84,14 @@
         self.version
     }
 
-    /// Returns one object.
+    /// Returns an object; of a lagging collection in its state at `as_of`.
     pub(crate) fn get(&self, collection: &Collection, name: &str, as_of: Instant) -> Option<Value> {
         let (_, objects) = self.view(collection, as_of)?;
         objects.get(name).cloned()
     }
 
-    /// Returns the objects of a collection with the version of the view.
+    /// Returns the objects of a collection and the version that they reflect; a lagging collection
+    /// as it was at `as_of`.
     pub(crate) fn list(&self, collection: &Collection, as_of: Instant) -> (u64, Vec<Value>) {
         match self.view(collection, as_of) {
             Some((version, objects)) => (version, objects.values().cloned().collect()),
@@ -98,7 +100,7 @@
         }
     }
 
-    /// Creates an object.
+    /// Creates an object and returns it with its version.
     pub(crate) fn create(
         &mut self,
         collection: &Collection,
@@ -112,7 +114,7 @@
         Ok(self.put(collection, name, object, ChangeKind::Added, now))
     }
 
-    /// Replaces an object that has the version `from`; without `from`, any version.
+    /// Replaces an object if its version is `from`, or unconditionally without `from`.
     pub(crate) fn update(
         &mut self,
         collection: &Collection,
@@ -125,7 +127,7 @@
         Ok(self.put(collection, name, object, ChangeKind::Modified, now))
     }
 
-    /// Deletes an object that has the version `from`; without `from`, any version.
+    /// Deletes an object if its version is `from`, or unconditionally without `from`.
     pub(crate) fn delete(
         &mut self,
         collection: &Collection,
@@ -144,7 +146,7 @@
         Ok(())
     }
 
-    /// Tells whether every change after `version` is still held.
+    /// Returns whether every change after `version` is retained.
     pub(crate) fn retains_changes_since(&self, version: u64) -> bool {
         version >= self.compacted_version
     }
@@ -155,7 +157,7 @@
         self.history.range(start..).find(|it| it.collection == *collection)
     }
 
-    /// Forgets the history, so that no watch can be resumed from an older version.
+    /// Discards the history, so that no watch can be resumed from an older version.
     pub(crate) fn compact(&mut self) {
         self.history.clear();
         self.compacted_version = self.version;
@@ -165,7 +167,7 @@
         self.collections.get(collection)?.get(name)
     }
 
-    /// Returns a collection, for a lagging one as it stood at `as_of`.
+    /// Returns the version and the objects of a collection; a lagging one as it was at `as_of`.
     fn view(&self, collection: &Collection, as_of: Instant) -> Option<(u64, &Objects)> {
         if !collection.is_lagging() {
             return Some((self.version, self.collections.get(collection)?));
--- a/crates/fakes/src/platform/switches.rs
+++ b/crates/fakes/src/platform/switches.rs
@@ -1,47 +1,49 @@
-//! Faults that can be switched on while the stand-in runs, and its counters.
+//! Switches for fault injection while the stand-in runs, and its counters.
 
 use serde::{Deserialize, Serialize};
 
-/// How the stand-in fails while it is down.
+/// How calls fail during an outage.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum Outage {
-    /// Every call is answered with 503 and `Retry-After`.
+    /// Every call fails with status 503 and `Retry-After`.
     Unavailable,
-    /// Every call is answered with 500, which says nothing about its effect.
+    /// Every call fails with status 500, which leaves open whether it took effect.
     Error,
-    /// Every call's connection is closed without an answer.
+    /// The connection of every call is closed without a response.
     Reset,
-    /// No call is ever answered.
+    /// Calls never get a response.
     Hang,
 }
 
-/// Faults that are switched on; the default is none.
+/// Faults that are injected; none by default.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct PlatformSwitches {
-    /// Makes every call fail without effect and ends open watches.
+    /// Outage in which every call fails without effect and open watches are aborted.
     pub outage: Option<Outage>,
     /// Delay before each call is handled, in milliseconds.
     pub delay_ms: u64,
-    /// Number of coming writes that take effect without being answered.
+    /// Number of further successful writes whose response is lost: the connection is closed
+    /// instead.
     pub lost_answers: u32,
-    /// Keeps watches open without delivering anything.
+    /// Keeps watches open without delivering events.
     pub silent_watches: bool,
-    /// Age of the instance list that is served, in milliseconds.
+    /// Lag of the instance list in reads and watches, in milliseconds.
     pub instances_lag_ms: u64,
 }
 
-/// Numbers of calls since the start.
+/// Numbers of calls since the stand-in started, whatever their result; calls during an outage are
+/// not counted.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counters {
-    /// Single reads and lists.
+    /// Reads of single objects and lists.
     pub reads: u64,
-    /// Creations, updates and deletions.
+    /// Calls to create, update or delete an object.
     pub writes: u64,
-    /// Watches.
+    /// Calls to open a watch.
     pub watches: u64,
-    /// Calls that were refused with 429.
+    /// Calls that the rate limit refused with status 429.
     pub limited: u64,
     /// Writes that took effect.
     pub effects: u64,
--- a/crates/fakes/src/platform/watch.rs
+++ b/crates/fakes/src/platform/watch.rs
@@ -1,4 +1,4 @@
-//! Watches: streams of the changes after a version.
+//! Watches: streams of the changes to a collection after a version.
 
 use std::{sync::Arc, time::Duration};
 
@@ -16,22 +16,22 @@
     store::{Change, ChangeKind, Collection},
 };
 
-/// Time after which a watch ends when its call does not say, in seconds.
+/// Duration of a watch whose call sets no timeout, in seconds.
 const DEFAULT_TIMEOUT_S: u64 = 30;
 
-/// Progress of one watch.
+/// State of one watch.
 struct WatchProgress {
     shared: Arc<Shared>,
     collection: Collection,
-    /// Version up to which every change was delivered.
+    /// Version of the last change that was delivered.
     version: u64,
-    end: Instant,
+    deadline: Instant,
     is_finished: bool,
     newest: watch::Receiver<u64>,
     switches: watch::Receiver<PlatformSwitches>,
 }
 
-/// What a watch does next.
+/// Next step of a watch.
 enum WatchStep {
     Deliver(Value),
     Abort,
@@ -39,7 +39,7 @@
     WaitUntil(Instant),
 }
 
-/// Opens a watch.
+/// Opens a watch of a collection, with the version and the timeout from the query string.
 pub(crate) fn open(
     shared: Arc<Shared>,
     collection: Collection,
@@ -57,7 +57,7 @@
     let progress = WatchProgress {
         collection,
         version,
-        end: Instant::now() + Duration::from_secs(timeout_s),
+        deadline: Instant::now() + Duration::from_secs(timeout_s),
         is_finished: false,
         newest: shared.newest.subscribe(),
         switches: shared.switches.subscribe(),
@@ -81,6 +81,7 @@
     parameter(query, name)?.parse().ok()
 }
 
+/// Returns the next line of the response with the state after it, or none at the end.
 async fn next_line(
     mut progress: WatchProgress,
 ) -> Option<(Result<Bytes, ConnectionAbort>, WatchProgress)> {
@@ -88,7 +89,7 @@
         return None;
     }
     loop {
-        match progress.step() {
+        match progress.next_step() {
             WatchStep::Deliver(event) => {
                 let line = Bytes::from(format!("{event}\n"));
                 return Some((Ok(line), progress));
@@ -104,8 +105,8 @@
 }
 
 impl WatchProgress {
-    /// Decides what comes next from the switches, the clock and the store.
-    fn step(&mut self) -> WatchStep {
+    /// Determines the next step from the switches, the clock and the store.
+    fn next_step(&mut self) -> WatchStep {
         let switches = self.switches.borrow_and_update().clone();
         self.newest.mark_unchanged();
         let now = Instant::now();
@@ -113,7 +114,11 @@
             return WatchStep::Abort;
         }
         if switches.silent_watches {
-            return if now >= self.end { WatchStep::End } else { WatchStep::WaitUntil(self.end) };
+            return if now >= self.deadline {
+                WatchStep::End
+            } else {
+                WatchStep::WaitUntil(self.deadline)
+            };
         }
         let lag = match self.collection.is_lagging() {
             true => Duration::from_millis(switches.instances_lag_ms),
@@ -132,10 +137,10 @@
             return WatchStep::Deliver(json!({ "type": "ERROR", "object": status }));
         }
         let Some(change) = state.store.change_after(&self.collection, self.version) else {
-            if now < self.end {
-                return WatchStep::WaitUntil(self.end);
+            if now < self.deadline {
+                return WatchStep::WaitUntil(self.deadline);
             }
-            // The bookmark lets the next watch skip the changes of other collections.
+            // The bookmark lets the next watch start after the changes of other collections.
             self.is_finished = true;
             return WatchStep::Deliver(bookmark(state.store.version()));
         };
@@ -144,12 +149,13 @@
             self.version = change.version;
             return WatchStep::Deliver(event(change));
         }
-        if now >= self.end {
+        if now >= self.deadline {
             return WatchStep::End;
         }
-        WatchStep::WaitUntil(visible_at.min(self.end))
+        WatchStep::WaitUntil(visible_at.min(self.deadline))
     }
 
+    /// Waits for a change, for new switches or until the given time.
     async fn wait(&mut self, until: Instant) {
         tokio::select! {
             _ = self.newest.changed() => {}
