--- a/crates/fakes/src/upstream/engine.rs
+++ b/crates/fakes/src/upstream/engine.rs
@@ -1,17 +1,18 @@
-//! Deterministic answers, so that a test can tell whose request an answer belongs to.
+//! Deterministic results that depend on the input, so that a test can detect a response to another
+//! request.
 
 use serde_json::{Value, json};
 use yuccatrail_core::ids::Digest;
 
-/// Dimensions of an embedding.
-const DIMENSIONS: usize = 4;
+/// Number of dimensions of an embedding.
+const EMBEDDING_DIMENSIONS: usize = 4;
 
-/// Computes the embedding of a text.
+/// Returns the embedding of a text, one byte for each dimension.
 pub fn embed(text: &str) -> Vec<u8> {
-    Digest::of(text.as_bytes()).0[..DIMENSIONS].to_vec()
+    Digest::of(text.as_bytes()).0[..EMBEDDING_DIMENSIONS].to_vec()
 }
 
-/// Finds `limit` documents for an embedding.
+/// Returns `limit` documents for an embedding.
 pub fn search(embedding: &[u8], limit: usize) -> Vec<String> {
     let mut documents = Vec::new();
     for rank in 0..limit {
@@ -20,7 +21,8 @@
     documents
 }
 
-/// Returns the indices of the `top_n` documents that fit the query best.
+/// Returns the indices of the `top_n` documents in the order of their relevance to the query, which
+/// is derived from digests.
 pub fn rerank(query: &str, documents: &[String], top_n: usize) -> Vec<usize> {
     let mut order: Vec<usize> = (0..documents.len()).collect();
     order.sort_by_key(|&it| short_digest(&format!("{query}|{}", documents[it])));
@@ -28,7 +30,7 @@
     order
 }
 
-/// Generates `count` tokens for a prompt.
+/// Returns `count` generated tokens for a prompt.
 pub fn generate(prompt: &str, count: usize) -> Vec<String> {
     let seed = short_digest(prompt);
     let mut tokens = Vec::new();
@@ -38,12 +40,12 @@
     tokens
 }
 
-/// Answers a plain service call.
+/// Returns the response to a plain service call: its method, its path and a digest of its body.
 pub fn serve_call(method: &str, path: &str, body: &str) -> Value {
     json!({ "method": method, "path": path, "body": short_digest(body) })
 }
 
-/// Returns the first eight hexadecimal digits of a text's digest.
+/// Returns the first eight hexadecimal digits of the digest of a text.
 pub fn short_digest(text: &str) -> String {
     let mut digits = Digest::of(text.as_bytes()).to_string();
     digits.truncate(8);
--- a/crates/fakes/src/upstream/mod.rs
+++ b/crates/fakes/src/upstream/mod.rs
@@ -1,4 +1,4 @@
-//! Stand-in for an upstream: model engine, encoder, retriever, reranker or plain service.
+//! Stand-in for any kind of upstream: model engine, encoder, retriever, reranker or plain service.
 
 pub mod engine;
 pub mod server;
--- a/crates/fakes/src/upstream/server.rs
+++ b/crates/fakes/src/upstream/server.rs
@@ -1,4 +1,4 @@
-//! HTTP interface of the upstream stand-in, in the style of common inference servers.
+//! HTTP server of the upstream stand-in, in the style of common inference servers.
 
 use std::{sync::Arc, time::Duration};
 
@@ -22,10 +22,10 @@
 };
 
 const JSON: &str = "application/json";
-/// Start of the line that names a call by request identifier and idempotency key.
+/// Prefix of the log line for a call; the request ID and the idempotency key follow.
 pub const CALL_LINE_PREFIX: &str = "call ";
 
-/// Serves the stand-in until `stop` is cancelled.
+/// Serves requests until `stop` is cancelled.
 pub async fn serve(listener: TcpListener, upstream: Arc<Upstream>, stop: CancellationToken) {
     http::serve(listener, stop, move |request| handle(upstream.clone(), request)).await;
 }
@@ -58,7 +58,7 @@
     top_n: usize,
 }
 
-/// Ends a call when it is dropped, also when the caller went away.
+/// Guard that ends a call when it is dropped, also if the caller disconnects.
 struct CallGuard {
     upstream: Arc<Upstream>,
     call: Call,
@@ -66,7 +66,7 @@
 
 impl Drop for CallGuard {
     fn drop(&mut self) {
-        self.upstream.end(self.call);
+        self.upstream.end_call(self.call);
     }
 }
 
@@ -74,20 +74,26 @@
     let path = request.uri().path().to_owned();
     if path == "/health" {
         let record = upstream.record();
-        return json_answer(&json!({ "boot_id": record.boot_id.to_string(), "warm": record.warm }));
+        return json_response(
+            &json!({ "boot_id": record.boot_id.to_string(), "warm": record.warm }),
+        );
     }
     if let Some(rest) = path.strip_prefix("/fake/") {
-        return admin(&upstream, rest, request).await;
+        return handle_admin(&upstream, rest, request).await;
     }
-    run(upstream, request).await
+    run_call(upstream, request).await
 }
 
-async fn admin(upstream: &Upstream, action: &str, request: Request<Incoming>) -> Response<Body> {
+async fn handle_admin(
+    upstream: &Upstream,
+    action: &str,
+    request: Request<Incoming>,
+) -> Response<Body> {
     match action {
-        "record" => json_answer(&json!(upstream.record())),
+        "record" => json_response(&json!(upstream.record())),
         "cold" => {
             upstream.turn_cold();
-            json_answer(&json!({}))
+            json_response(&json!({}))
         }
         "switches" => {
             let body = read_body(request).await;
@@ -95,17 +101,17 @@
                 return respond(StatusCode::BAD_REQUEST, JSON, "{}");
             };
             upstream.set_switches(switches);
-            json_answer(&json!({}))
+            json_response(&json!({}))
         }
         _ => respond(StatusCode::NOT_FOUND, JSON, "{}"),
     }
 }
 
-async fn run(upstream: Arc<Upstream>, request: Request<Incoming>) -> Response<Body> {
+async fn run_call(upstream: Arc<Upstream>, request: Request<Incoming>) -> Response<Body> {
     let method = request.method().to_string();
     let path = request.uri().path_and_query().map_or_else(String::new, ToString::to_string);
-    let request_id = header_text(&request, "x-request-id").unwrap_or_default();
-    let key = header_text(&request, "idempotency-key");
+    let request_id = header_value(&request, "x-request-id").unwrap_or_default();
+    let key = header_value(&request, "idempotency-key");
     let body = read_body(request).await;
     let text = String::from_utf8_lossy(&body).into_owned();
     let switches = upstream.switches();
@@ -115,11 +121,11 @@
     if switches.crash_on.as_ref().is_some_and(|it| text.contains(it.as_str())) {
         std::process::abort();
     }
-    let Some(call) = upstream.begin(&request_id, key.as_deref()) else {
+    let Some(call) = upstream.start_call(&request_id, key.as_deref()) else {
         return respond(StatusCode::SERVICE_UNAVAILABLE, JSON, r#"{"error":"engine restarted"}"#);
     };
     let call_guard = CallGuard { upstream, call };
-    // Even a sleep of zero lasts until the timer's next millisecond.
+    // The timer has a resolution of 1 ms, so even a sleep of zero would delay the call.
     if switches.delay_ms > 0 {
         tokio::time::sleep(Duration::from_millis(switches.delay_ms)).await;
     }
@@ -128,31 +134,31 @@
         return respond(status, JSON, r#"{"error":"switched to fail"}"#);
     }
     match path.as_str() {
-        "/v1/completions" => complete(&body, &switches, call_guard),
-        "/v1/embeddings" => answer(
+        "/v1/completions" => stream_completion(&body, &switches, call_guard),
+        "/v1/embeddings" => respond_to(
             &body,
             |it: EmbeddingRequest| json!({ "data": [{ "embedding": engine::embed(&it.input) }] }),
         ),
-        "/v1/search" => answer(
+        "/v1/search" => respond_to(
             &body,
             |it: SearchRequest| json!({ "documents": engine::search(&it.vector, it.limit) }),
         ),
-        "/v1/rerank" => answer(&body, |it: RerankRequest| {
+        "/v1/rerank" => respond_to(&body, |it: RerankRequest| {
             let order = engine::rerank(&it.query, &it.documents, it.top_n);
             let results: Vec<Value> = order.iter().map(|it| json!({ "index": it })).collect();
             json!({ "results": results })
         }),
-        _ => json_answer(&engine::serve_call(&method, &path, &text)),
+        _ => json_response(&engine::serve_call(&method, &path, &text)),
     }
 }
 
-/// Parses a body and answers it with the value that `work` computes.
-fn answer<T: for<'de> Deserialize<'de>>(
+/// Parses a body and responds with the value that `compute` returns for it.
+fn respond_to<T: for<'de> Deserialize<'de>>(
     body: &[u8],
-    work: impl FnOnce(T) -> Value,
+    compute: impl FnOnce(T) -> Value,
 ) -> Response<Body> {
     match serde_json::from_slice(body) {
-        Ok(parsed) => json_answer(&work(parsed)),
+        Ok(parsed) => json_response(&compute(parsed)),
         Err(error) => respond(
             StatusCode::BAD_REQUEST,
             JSON,
@@ -161,7 +167,12 @@
     }
 }
 
-fn complete(body: &[u8], switches: &UpstreamSwitches, call_guard: CallGuard) -> Response<Body> {
+/// Streams the tokens of a text generation request; the call ends with the stream.
+fn stream_completion(
+    body: &[u8],
+    switches: &UpstreamSwitches,
+    call_guard: CallGuard,
+) -> Response<Body> {
     let Ok(request) = serde_json::from_slice::<CompletionRequest>(body) else {
         return respond(StatusCode::BAD_REQUEST, JSON, r#"{"error":"bad completion request"}"#);
     };
@@ -175,6 +186,7 @@
     }
     let delay = Duration::from_millis(switches.token_delay_ms);
     let frames = stream::iter(events).then(move |event| {
+        // Moves the guard into the closure, so that it lives as long as the stream.
         let held = &call_guard;
         let _ = held;
         async move {
@@ -190,11 +202,11 @@
     response
 }
 
-fn json_answer(value: &Value) -> Response<Body> {
+fn json_response(value: &Value) -> Response<Body> {
     respond(StatusCode::OK, JSON, value.to_string())
 }
 
-fn header_text(request: &Request<Incoming>, name: &str) -> Option<String> {
+fn header_value(request: &Request<Incoming>, name: &str) -> Option<String> {
     Some(request.headers().get(name)?.to_str().ok()?.to_owned())
 }
 
--- a/crates/fakes/src/upstream/state.rs
+++ b/crates/fakes/src/upstream/state.rs
@@ -1,65 +1,65 @@
-//! Switches and records of the upstream stand-in.
+//! Switches and record of the upstream stand-in.
 
 use std::sync::{Mutex, MutexGuard, PoisonError};
 
 use serde::{Deserialize, Serialize};
 use yuccatrail_core::FastMap;
 
-/// Behaviour that a test may change while the stand-in runs.
+/// Behaviour of the stand-in, which can be changed while it runs.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, deny_unknown_fields)]
 pub struct UpstreamSwitches {
-    /// Time that each call takes before its answer starts, in milliseconds.
+    /// Delay of each call before its response starts, in milliseconds.
     pub delay_ms: u64,
-    /// Time between generated tokens, in milliseconds.
+    /// Delay before each generated token, in milliseconds.
     pub token_delay_ms: u64,
-    /// Calls that have to complete before a cold engine is warm; zero means always warm.
+    /// Number of calls that have to end before a cold engine is warm; with zero it starts warm.
     pub cold_calls: u32,
-    /// Calls that a cold engine bears at once; above this it restarts cold.
+    /// Number of concurrent calls that a cold engine sustains; with more it restarts cold.
     pub cold_bearable: u32,
-    /// Text in a body that makes the process abort.
+    /// Text that makes the process abort when a request body contains it.
     pub crash_on: Option<String>,
-    /// Tokens after which a stream is cut.
+    /// Number of tokens after which a stream ends prematurely.
     pub cut_after_tokens: Option<u32>,
-    /// HTTP status that every call is answered with.
+    /// HTTP status with which every call fails.
     pub fail_status: Option<u16>,
-    /// Writes a line for each call before it begins, which outlives the process.
+    /// Logs a line for each call before it starts, so that calls are known even after a crash.
     pub log_calls: bool,
 }
 
-/// What the stand-in saw.
+/// Calls and engine state that the stand-in has observed.
 #[derive(Clone, Debug, Default, Serialize, Deserialize)]
 pub struct UpstreamRecord {
-    /// Identity of the current engine start.
+    /// Identifies the current start of the engine; changes with each restart.
     pub boot_id: u64,
     /// Whether the engine is warm.
     pub warm: bool,
-    /// Calls in progress.
+    /// Number of calls in progress.
     pub running: u32,
-    /// Most calls in progress at once.
+    /// Highest number of calls in progress so far.
     pub peak: u32,
-    /// Most calls in progress at once while cold.
+    /// Highest number of calls in progress in a cold engine so far.
     pub cold_peak: u32,
-    /// Times that a cold engine was given more than it bears.
+    /// Number of times that a cold engine was overloaded and restarted.
     pub overloads: u32,
-    /// Calls begun.
+    /// Number of calls started.
     pub calls: u64,
-    /// Calls begun, by idempotency key.
+    /// Number of calls started, by idempotency key.
     pub runs_by_key: FastMap<String, u32>,
-    /// Calls begun, by request identifier.
+    /// Number of calls started, by request ID.
     pub runs_by_request: FastMap<String, u32>,
-    /// Orders executed, as fencing numbers in order.
+    /// Fencing numbers of the executed orders, in order of execution.
     pub fences: Vec<u64>,
-    /// Calls in progress that began since the engine start.
+    /// Number of calls in progress that started since the last engine start.
     started: u32,
-    /// Completed calls since the engine start.
+    /// Number of calls that ended since the last engine start.
     warm_up: u32,
 }
 
 /// A call in progress.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Call {
-    /// Engine start that the call belongs to.
+    /// Engine start during which the call started.
     boot_id: u64,
 }
 
@@ -70,14 +70,14 @@
 }
 
 impl Upstream {
-    /// Creates an engine that has just started.
+    /// Creates an upstream whose engine has just started.
     pub fn new(switches: UpstreamSwitches, boot_id: u64) -> Self {
         let record =
             UpstreamRecord { boot_id, warm: switches.cold_calls == 0, ..UpstreamRecord::default() };
         Self { inner: Mutex::new((switches, record)) }
     }
 
-    /// Returns the switches in force.
+    /// Returns the current switches.
     pub fn switches(&self) -> UpstreamSwitches {
         self.lock().0.clone()
     }
@@ -87,7 +87,7 @@
         self.lock().0 = switches;
     }
 
-    /// Returns what the stand-in saw so far.
+    /// Returns the record so far.
     pub fn record(&self) -> UpstreamRecord {
         self.lock().1.clone()
     }
@@ -98,10 +98,11 @@
         reset_to_cold(&mut inner.1);
     }
 
-    /// Begins a call; returns none when the engine falls over instead.
+    /// Starts a call; returns none if it overloads the engine, which then restarts cold.
     ///
-    /// Calls that were in progress when the engine turned cold do not count against what it bears.
-    pub fn begin(&self, request: &str, key: Option<&str>) -> Option<Call> {
+    /// Calls that were already in progress when the engine turned cold do not count towards the
+    /// overload.
+    pub fn start_call(&self, request: &str, key: Option<&str>) -> Option<Call> {
         let mut inner = self.lock();
         let (switches, record) = &mut *inner;
         record.calls += 1;
@@ -126,8 +127,8 @@
         None
     }
 
-    /// Ends a call.
-    pub fn end(&self, call: Call) {
+    /// Ends a call; it counts for the warm-up only if the engine has not restarted meanwhile.
+    pub fn end_call(&self, call: Call) {
         let mut inner = self.lock();
         let (switches, record) = &mut *inner;
         record.running -= 1;
