--- a/crates/fakes/src/scenarios/check.rs
+++ b/crates/fakes/src/scenarios/check.rs
@@ -1,13 +1,13 @@
 //! Checks of the promises against what callers saw and stand-ins recorded.
 
-use super::{drive::Driven, observe::Totals};
+use super::{drive::DriverReport, observe::Totals};
 use crate::load::tally::Tally;
 
 /// Most violations of one kind that are listed one by one.
 const MAX_LISTED: usize = 5;
 
 /// Lists every violation that callers and records show.
-pub fn violations(tally: &Tally, totals: &Totals, driven: &Driven) -> Vec<String> {
+pub fn violations(tally: &Tally, totals: &Totals, driver_report: &DriverReport) -> Vec<String> {
     let mut found = Vec::new();
     doubled_runs(totals, &mut found);
     untrue_not_run(tally, totals, &mut found);
@@ -21,21 +21,21 @@
         let detail = format!(
             "{} times more work than a cold upstream bears, {} of them within {} ms of its turn",
             totals.overloads,
-            driven.early_overloads,
-            super::drive::COLD_NOTICE_MS
+            driver_report.early_overloads,
+            super::drive::COLD_DETECTION_MS
         );
         found.push(detail);
     }
-    if driven.calls_while_out > 0 {
+    if driver_report.calls_while_out > 0 {
         let detail = format!(
             "{} calls begun in a data centre later than {} ms after it was taken out",
-            driven.calls_while_out,
-            super::drive::OUT_NOTICE_MS
+            driver_report.calls_while_out,
+            super::drive::OUT_GRACE_MS
         );
         found.push(detail);
     }
     found.extend(tally.examples.iter().cloned());
-    found.extend(driven.faults.iter().cloned());
+    found.extend(driver_report.errors.iter().cloned());
     found
 }
 
--- a/crates/fakes/src/scenarios/drive.rs
+++ b/crates/fakes/src/scenarios/drive.rs
@@ -22,15 +22,15 @@
 /// Time between two looks at the processes.
 const LOOK_INTERVAL: Duration = Duration::from_millis(50);
 /// Time in which a data centre that was taken out may still receive new work, in milliseconds.
-pub const OUT_NOTICE_MS: u64 = 3_000;
+pub const OUT_GRACE_MS: u64 = 3_000;
 /// Time in which an agent notices that its upstream turned cold, in milliseconds.
-pub const COLD_NOTICE_MS: u64 = 1_000;
+pub const COLD_DETECTION_MS: u64 = 1_000;
 /// Time between two resends of a failed request.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
 /// What was seen while the events were carried out.
 #[derive(Clone, Debug, Default)]
-pub struct Driven {
+pub struct DriverReport {
     /// Upstream processes that crashed.
     pub crashes: u32,
     /// Overloads of cold upstreams within the notice time after they turned.
@@ -40,23 +40,23 @@
     /// Answers to the requests that were sent again, in order.
     pub resends: Vec<String>,
     /// Faults of the run itself.
-    pub faults: Vec<String>,
+    pub errors: Vec<String>,
 }
 
 /// A data centre that is out.
 struct Out {
     name: &'static str,
-    noticed_at: Instant,
-    calls_at_notice: Option<u64>,
+    grace_ends_at: Instant,
+    calls_at_grace_end: Option<u64>,
 }
 
 /// Carries out events on a stack.
 pub struct Driver<'a> {
     stack: &'a mut Stack,
     observer: &'a mut Observer,
-    driven: Driven,
+    report: DriverReport,
     out: Option<Out>,
-    cold_until: Option<Instant>,
+    cold_detected_by: Option<Instant>,
     killed: Vec<usize>,
     resends: Vec<JoinHandle<Vec<String>>>,
 }
@@ -67,9 +67,9 @@
         Self {
             stack,
             observer,
-            driven: Driven::default(),
+            report: DriverReport::default(),
             out: None,
-            cold_until: None,
+            cold_detected_by: None,
             killed: Vec::new(),
             resends: Vec::new(),
         }
@@ -84,7 +84,7 @@
         mut self,
         events: &[Event],
         load: JoinHandle<Tally>,
-    ) -> Result<(Tally, Driven), StackError> {
+    ) -> Result<(Tally, DriverReport), StackError> {
         let start = Instant::now();
         let mut next = 0;
         while !load.is_finished() {
@@ -96,18 +96,18 @@
             tokio::time::sleep(LOOK_INTERVAL).await;
         }
         for resend in self.resends {
-            self.driven.resends.extend(resend.await.unwrap_or_default());
+            self.report.resends.extend(resend.await.unwrap_or_default());
         }
         let tally = load.await.map_err(|it| StackError::NotReached { what: it.to_string() })?;
-        Ok((tally, self.driven))
+        Ok((tally, self.report))
     }
 
     async fn carry_out(&mut self, action: &Action) -> Result<(), StackError> {
         match action {
             Action::DataCentreOut(name) => {
                 self.operate(&OperationsChange::DataCentreOut((*name).to_owned())).await?;
-                let noticed_at = Instant::now() + Duration::from_millis(OUT_NOTICE_MS);
-                self.out = Some(Out { name, noticed_at, calls_at_notice: None });
+                let grace_ends_at = Instant::now() + Duration::from_millis(OUT_GRACE_MS);
+                self.out = Some(Out { name, grace_ends_at, calls_at_grace_end: None });
             }
             Action::DataCentreIn(name) => {
                 self.count_calls_while_out().await;
@@ -120,9 +120,9 @@
                     self.stack.switch(pair, switches).await?;
                 }
             }
-            Action::TurnCold(pool) => self.turn_cold(pool).await?,
+            Action::MakeCold(pool) => self.make_cold(pool).await?,
             Action::KillAgents { count } => self.kill_agents(*count).await?,
-            Action::ReplaceAgents => self.replace_agents().await?,
+            Action::RestartAgents => self.restart_agents().await?,
             Action::Resend { input, times } => {
                 let entry = self.stack.entry(0);
                 self.resends.push(tokio::spawn(resend(entry, input, *times)));
@@ -136,21 +136,21 @@
         self.observer.read(self.stack).await;
         for index in 0..self.stack.upstreams.len() {
             if self.stack.upstreams[index].upstream.has_ended() {
-                self.driven.crashes += 1;
+                self.report.crashes += 1;
                 self.restart_upstream(index).await?;
             }
         }
         if let Some(out) = &self.out
-            && out.calls_at_notice.is_none()
-            && Instant::now() >= out.noticed_at
+            && out.calls_at_grace_end.is_none()
+            && Instant::now() >= out.grace_ends_at
         {
             let calls = self.calls_in(out.name).await;
             if let Some(out) = &mut self.out {
-                out.calls_at_notice = Some(calls);
+                out.calls_at_grace_end = Some(calls);
             }
         }
-        if self.cold_until.is_some_and(|it| Instant::now() <= it) {
-            self.driven.early_overloads = self.observer.totals().overloads;
+        if self.cold_detected_by.is_some_and(|it| Instant::now() <= it) {
+            self.report.early_overloads = self.observer.totals().overloads;
         }
         Ok(())
     }
@@ -181,14 +181,14 @@
         Ok(())
     }
 
-    async fn turn_cold(&mut self, pool: &str) -> Result<(), StackError> {
+    async fn make_cold(&mut self, pool: &str) -> Result<(), StackError> {
         for pair in &self.stack.upstreams {
             if pair.plan.pool == pool {
                 let address = pair.upstream.address;
                 self.stack.caller.send(address, "POST", "/fake/cold", &[], "").await?;
             }
         }
-        self.cold_until = Some(Instant::now() + Duration::from_millis(COLD_NOTICE_MS));
+        self.cold_detected_by = Some(Instant::now() + Duration::from_millis(COLD_DETECTION_MS));
         Ok(())
     }
 
@@ -201,7 +201,7 @@
         Ok(())
     }
 
-    async fn replace_agents(&mut self) -> Result<(), StackError> {
+    async fn restart_agents(&mut self) -> Result<(), StackError> {
         for index in std::mem::take(&mut self.killed) {
             let pair = &mut self.stack.upstreams[index];
             let listen = pair.agent.address.to_string();
@@ -221,9 +221,9 @@
     async fn count_calls_while_out(&mut self) {
         let Some(out) = self.out.take() else { return };
         let calls = self.calls_in(out.name).await;
-        match out.calls_at_notice {
-            Some(before) => self.driven.calls_while_out += calls - before,
-            None => self.driven.faults.push("the data centre returned too early".to_owned()),
+        match out.calls_at_grace_end {
+            Some(before) => self.report.calls_while_out += calls - before,
+            None => self.report.errors.push("the data centre returned too early".to_owned()),
         }
     }
 
--- a/crates/fakes/src/scenarios/list.rs
+++ b/crates/fakes/src/scenarios/list.rs
@@ -84,7 +84,7 @@
 }
 
 fn cold_pool() -> Scenario {
-    let events = vec![Event::new(2_000, Action::TurnCold("engines"))];
+    let events = vec![Event::new(2_000, Action::MakeCold("engines"))];
     let mut scenario = scenario("cold-pool", UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events);
     scenario.stack.switch_pool("engines", |it| {
         it.cold_bearable = COLD_BEARABLE;
@@ -110,7 +110,7 @@
 fn agents_killed() -> Scenario {
     let events = vec![
         Event::new(2_000, Action::KillAgents { count: 2 }),
-        Event::new(4_000, Action::ReplaceAgents),
+        Event::new(4_000, Action::RestartAgents),
     ];
     scenario("agents-killed", MORE_UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events)
 }
--- a/crates/fakes/src/scenarios/run.rs
+++ b/crates/fakes/src/scenarios/run.rs
@@ -4,7 +4,7 @@
 
 use super::{
     check,
-    drive::{Driven, Driver},
+    drive::{Driver, DriverReport},
     observe::{Observer, Totals},
     report::ScenarioResult,
     scenario::Scenario,
@@ -43,12 +43,12 @@
     };
     let load = tokio::spawn(async move { run::run(&settings).await });
     let driver = Driver::new(&mut stack, &mut observer);
-    let (tally, mut driven) = driver.run(&scenario.events, load).await?;
+    let (tally, mut driver_report) = driver.run(&scenario.events, load).await?;
     observer.read_all(&stack).await?;
     if let Err(error) = stack.close().await {
-        driven.faults.push(format!("planned stop: {error}"));
+        driver_report.errors.push(format!("planned stop: {error}"));
     }
-    Ok(result(scenario, seed, &tally, &observer.totals(), &before, driven))
+    Ok(result(scenario, seed, &tally, &observer.totals(), &before, driver_report))
 }
 
 /// Lists the entries in the platform, so that they exchange state.
@@ -78,7 +78,7 @@
     tally: &Tally,
     totals: &Totals,
     before: &Totals,
-    driven: Driven,
+    driver_report: DriverReport,
 ) -> ScenarioResult {
     let calls = totals.calls - before.calls;
     ScenarioResult {
@@ -90,9 +90,9 @@
         peak: totals.peak,
         cold_peak: totals.cold_peak,
         overloads: totals.overloads,
-        crashes: driven.crashes,
-        resends: driven.resends.clone(),
-        violations: check::violations(tally, totals, &driven),
+        crashes: driver_report.crashes,
+        resends: driver_report.resends.clone(),
+        violations: check::violations(tally, totals, &driver_report),
     }
 }
 
--- a/crates/fakes/src/scenarios/scenario.rs
+++ b/crates/fakes/src/scenarios/scenario.rs
@@ -50,14 +50,14 @@
         switches: upstream::state::Switches,
     },
     /// All upstreams of a pool turn cold.
-    TurnCold(&'static str),
+    MakeCold(&'static str),
     /// Agents end without warning.
     KillAgents {
         /// Number of agents, spread over the pools.
         count: usize,
     },
     /// Ended agents start again on their addresses.
-    ReplaceAgents,
+    RestartAgents,
     /// A caller sends one request, and sends it again after each failure.
     Resend {
         /// Input of the pipeline request.
--- a/crates/fakes/tests/scenario_checks.rs
+++ b/crates/fakes/tests/scenario_checks.rs
@@ -6,7 +6,7 @@
         plan::{CallKind, PlannedCall},
         tally::{Deadlines, Tally},
     },
-    scenarios::{check::violations, drive::Driven, observe::Totals},
+    scenarios::{check::violations, drive::DriverReport, observe::Totals},
 };
 
 const DEADLINES: Deadlines = Deadlines { pipeline_ms: 2_000, service_ms: 1_000 };
@@ -44,14 +44,14 @@
     totals.runs_by_key.insert("key-1".to_owned(), 1);
     totals.runs_by_request.insert("request-2".to_owned(), 2);
     let tally = tally_of(refused("not_run"));
-    assert!(violations(&tally, &totals, &Driven::default()).is_empty());
+    assert!(violations(&tally, &totals, &DriverReport::default()).is_empty());
 }
 
 #[test]
 fn doubled_run_is_found() {
     let mut totals = Totals::default();
     totals.runs_by_key.insert("key-1".to_owned(), 2);
-    let found = violations(&tally_of(CallOutcome::Correct), &totals, &Driven::default());
+    let found = violations(&tally_of(CallOutcome::Correct), &totals, &DriverReport::default());
     assert!(found.iter().any(|it| it.contains("key-1")));
 }
 
@@ -59,15 +59,17 @@
 fn untrue_not_run_is_found() {
     let mut totals = Totals::default();
     totals.runs_by_request.insert("request-1".to_owned(), 1);
-    let found = violations(&tally_of(refused("not_run")), &totals, &Driven::default());
+    let found = violations(&tally_of(refused("not_run")), &totals, &DriverReport::default());
     assert!(found.iter().any(|it| it.contains("request-1")));
-    assert!(violations(&tally_of(refused("unknown")), &totals, &Driven::default()).is_empty());
+    assert!(
+        violations(&tally_of(refused("unknown")), &totals, &DriverReport::default()).is_empty()
+    );
 }
 
 #[test]
 fn wrong_and_broken_answers_are_found() {
     for verdict in [CallOutcome::Wrong("text".to_owned()), CallOutcome::Broken("cut".to_owned())] {
-        let found = violations(&tally_of(verdict), &Totals::default(), &Driven::default());
+        let found = violations(&tally_of(verdict), &Totals::default(), &DriverReport::default());
         assert!(!found.is_empty());
     }
 }
@@ -75,8 +77,11 @@
 #[test]
 fn overloads_and_calls_in_a_data_centre_that_is_out_are_found() {
     let totals = Totals { overloads: 1, ..Totals::default() };
-    assert_eq!(violations(&tally_of(CallOutcome::Correct), &totals, &Driven::default()).len(), 1);
-    let driven = Driven { calls_while_out: 1, ..Driven::default() };
+    assert_eq!(
+        violations(&tally_of(CallOutcome::Correct), &totals, &DriverReport::default()).len(),
+        1
+    );
+    let driven = DriverReport { calls_while_out: 1, ..DriverReport::default() };
     assert_eq!(violations(&tally_of(CallOutcome::Correct), &Totals::default(), &driven).len(), 1);
 }
 
