--- a/crates/fakes/src/bin/experiments.rs
+++ b/crates/fakes/src/bin/experiments.rs
@@ -72,7 +72,7 @@
 
 fn modes(all_policies: bool) -> Vec<Mode> {
     match all_policies {
-        true => vec![Mode::Managed, Mode::ManagedRandom, Mode::ManagedInTurn, Mode::Baseline],
+        true => vec![Mode::Managed, Mode::ManagedRandom, Mode::ManagedRoundRobin, Mode::Baseline],
         false => vec![Mode::Managed, Mode::Baseline],
     }
 }
--- a/crates/fakes/src/model/sim/mod.rs
+++ b/crates/fakes/src/model/sim/mod.rs
@@ -56,7 +56,7 @@
     ManagedRandom,
     /// The decisions of the core but for the choice of upstreams, which go in turn.
     #[display("in turn")]
-    ManagedInTurn,
+    ManagedRoundRobin,
     /// Random choice, first come first served, no admission, no ramp.
     #[display("baseline")]
     Baseline,
@@ -67,7 +67,7 @@
         match self {
             Self::Managed => Policy::PowerOfTwo,
             Self::ManagedRandom | Self::Baseline => Policy::Random,
-            Self::ManagedInTurn => Policy::RoundRobin,
+            Self::ManagedRoundRobin => Policy::RoundRobin,
         }
     }
 }
