--- a/crates/fakes/src/load/call.rs
+++ b/crates/fakes/src/load/call.rs
@@ -78,17 +78,17 @@
     }
 
     /// Returns the idempotency key of a service call that may run at most once.
-    pub fn key(&self, run: &str) -> String {
-        format!("{run}-{}", self.number)
+    pub fn idempotency_key(&self, key_prefix: &str) -> String {
+        format!("{key_prefix}-{}", self.number)
     }
 }
 
 /// Makes a call; `intended` is the time from which its latency counts.
-pub async fn make(
+pub async fn execute(
     caller: &Caller,
     entry: SocketAddr,
     call: PlannedCall,
-    run: &str,
+    key_prefix: &str,
     intended: Instant,
 ) -> Observation {
     let mut arrivals = Arrivals::default();
@@ -96,7 +96,7 @@
         CallKind::PipelinePlain => pipeline_plain(caller, entry, &call).await,
         CallKind::PipelineStreamed => pipeline_streamed(caller, entry, &call, &mut arrivals).await,
         CallKind::ServiceRead => service_read(caller, entry, &call).await,
-        CallKind::ServiceWrite => service_write(caller, entry, &call, run).await,
+        CallKind::ServiceWrite => service_write(caller, entry, &call, key_prefix).await,
     };
     let since = |it: Instant| it.saturating_duration_since(intended).as_micros() as u64;
     Observation {
@@ -154,11 +154,11 @@
     caller: &Caller,
     entry: SocketAddr,
     call: &PlannedCall,
-    run: &str,
+    key_prefix: &str,
 ) -> Judged {
     let sent = json!({ "notice": call.number }).to_string();
     let path = format!("/v1/services/{SERVICE}/notices");
-    let key = call.key(run);
+    let key = call.idempotency_key(key_prefix);
     let answer =
         caller.send(entry, "POST", &path, &[("idempotency-key", &key)], sent.clone()).await;
     judge(answer, |body| *body == engine::serve_call("POST", "/notices", &sent))
--- a/crates/fakes/src/load/run.rs
+++ b/crates/fakes/src/load/run.rs
@@ -40,7 +40,7 @@
 pub async fn run(settings: &LoadSettings) -> Tally {
     let calls = plan::plan(&settings.phases, settings.seed);
     let callers = callers(&calls);
-    let run: Arc<str> = settings.key_prefix.as_str().into();
+    let key_prefix: Arc<str> = settings.key_prefix.as_str().into();
     let mut tally = Tally::new(settings.deadlines);
     let mut tasks: JoinSet<Observation> = JoinSet::new();
     let start = Instant::now();
@@ -56,8 +56,9 @@
         }
         let entry = settings.entries[position % settings.entries.len()];
         let caller = callers[&call.customer].clone();
-        let run = run.clone();
-        tasks.spawn(async move { call::make(&caller, entry, call, &run, intended).await });
+        let key_prefix = key_prefix.clone();
+        tasks
+            .spawn(async move { call::execute(&caller, entry, call, &key_prefix, intended).await });
     }
     collect_rest(tasks, &mut tally).await;
     tally
