--- a/crates/fakes/src/model/agent.rs
+++ b/crates/fakes/src/model/agent.rs
@@ -1,4 +1,4 @@
-//! Modelled agent: a shell around the core's capacity and queue, or a plain baseline.
+//! Simulated agent: wraps the capacity limit and queue of the core, or a plain FIFO baseline.
 
 use std::collections::VecDeque;
 
@@ -18,7 +18,7 @@
     upstream::Upstream,
 };
 
-/// What an agent is told of an attempt.
+/// An attempt as an entry submits it to an agent.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Submission {
     pub(crate) attempt: usize,
@@ -27,17 +27,17 @@
     pub(crate) estimate_ms: u64,
 }
 
-/// An attempt that is passed to the upstream.
+/// An attempt that leaves the queue for the upstream.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Dispatch {
     pub(crate) attempt: usize,
     pub(crate) queued_ms: u64,
 }
 
-/// Attempts that left the agent without having run.
+/// Attempts that left the agent without having run, with the reasons.
 pub(crate) type NotRun = Vec<(usize, Reason)>;
 
-/// One agent with its upstream.
+/// A simulated agent with its upstream.
 pub(crate) struct Agent {
     pub(crate) pool: usize,
     pub(crate) data_centre: usize,
@@ -47,8 +47,11 @@
     capacity: Capacity,
     queue: Queue,
     customers: Vec<CustomerKey>,
-    waiting: FastMap<EntryKey, usize>,
-    started: FastMap<usize, (EntryKey, CallKey)>,
+    /// Attempts in `queue`, by queue key.
+    queued_attempts: FastMap<EntryKey, usize>,
+    /// Keys in `queue` and `capacity` of the attempts at the upstream.
+    dispatched_attempts: FastMap<usize, (EntryKey, CallKey)>,
+    /// Queue of the baseline: arrival times in microseconds with the attempts.
     fifo: VecDeque<(u64, usize)>,
     concurrency: u32,
     max_queued: usize,
@@ -74,8 +77,8 @@
             capacity: Capacity::new(spec.limits),
             queue,
             customers,
-            waiting: FastMap::default(),
-            started: FastMap::default(),
+            queued_attempts: FastMap::default(),
+            dispatched_attempts: FastMap::default(),
             fifo: VecDeque::new(),
             concurrency: spec.limits.concurrency,
             max_queued: spec.max_queued as usize,
@@ -110,7 +113,7 @@
         }
     }
 
-    /// Queues an attempt; returns the one that made room for it.
+    /// Queues an attempt; returns the attempt that was evicted to make room, if any.
     pub(crate) fn push(&mut self, now_us: u64, it: Submission) -> Result<NotRun, Reason> {
         if self.draining {
             return Err(Reason::DataCentreOut);
@@ -132,29 +135,29 @@
             exclusive: false,
         };
         let pushed = self.queue.push(now_us / US_PER_MS, entry)?;
-        self.waiting.insert(pushed.key, it.attempt);
-        Ok(self.forget(pushed.evicted.as_slice()))
+        self.queued_attempts.insert(pushed.key, it.attempt);
+        Ok(self.remove_dropped(pushed.evicted.as_slice()))
     }
 
-    /// Drops what can no longer finish in time.
+    /// Drops queued attempts that can no longer complete by their deadlines.
     pub(crate) fn expire(&mut self, now_us: u64) -> NotRun {
         let dropped = self.queue.expire(now_us / US_PER_MS);
-        self.forget(&dropped)
+        self.remove_dropped(&dropped)
     }
 
     pub(crate) fn next_expiry_us(&self) -> Option<u64> {
         self.queue.next_expiry_ms().map(|it| it * US_PER_MS)
     }
 
-    /// Hands back everything that waits.
+    /// Removes and returns all queued attempts.
     pub(crate) fn drain(&mut self) -> NotRun {
         let dropped = self.queue.drain(Reason::DataCentreOut);
-        let mut drained = self.forget(&dropped);
+        let mut drained = self.remove_dropped(&dropped);
         drained.extend(self.fifo.drain(..).map(|(_, it)| (it, Reason::DataCentreOut)));
         drained
     }
 
-    /// Takes the next attempt to run.
+    /// Takes the next attempt from the queue if the concurrency limit allows another call.
     pub(crate) fn next(&mut self, now_us: u64) -> Option<Dispatch> {
         let now_ms = now_us / US_PER_MS;
         if self.mode == Mode::Baseline {
@@ -171,25 +174,30 @@
         }
         let next = self.queue.pop(now_ms)?;
         let call = self.capacity.try_start(now_ms, next.entry.estimate_ms);
-        let call = call.expect("there is room for a call");
-        let attempt = self.waiting.remove(&next.key).expect("queued attempts are known");
-        self.started.insert(attempt, (next.key, call));
+        let call = call.expect("the limit allows another call");
+        let attempt = self
+            .queued_attempts
+            .remove(&next.key)
+            .expect("every queue entry belongs to an attempt");
+        self.dispatched_attempts.insert(attempt, (next.key, call));
         Some(Dispatch { attempt, queued_ms: next.queued_ms })
     }
 
-    /// Notes that a dispatched attempt no longer runs.
+    /// Releases the capacity that a dispatched attempt held.
     pub(crate) fn finish(&mut self, now_us: u64, attempt: usize, end: CallEnd) {
-        let Some((entry, call)) = self.started.remove(&attempt) else { return };
+        let Some((entry, call)) = self.dispatched_attempts.remove(&attempt) else { return };
         self.queue.finish(entry);
         self.capacity.finish(now_us / US_PER_MS, call, end);
     }
 
-    /// Takes a waiting attempt out; returns whether it waited.
+    /// Removes an attempt from the queue; returns whether it was queued.
+    ///
+    /// In the baseline it returns false even if the attempt was queued.
     pub(crate) fn remove(&mut self, attempt: usize) -> bool {
         self.fifo.retain(|(_, it)| *it != attempt);
-        let key = self.waiting.iter().find(|(_, it)| **it == attempt).map(|(key, _)| *key);
+        let key = self.queued_attempts.iter().find(|(_, it)| **it == attempt).map(|(key, _)| *key);
         let Some(key) = key else { return false };
-        self.waiting.remove(&key);
+        self.queued_attempts.remove(&key);
         self.queue.remove(key).is_some()
     }
 
@@ -201,7 +209,7 @@
         self.capacity.on_connect_failure(now_us / US_PER_MS);
     }
 
-    /// Probes the upstream.
+    /// Probes the upstream and passes the result to the capacity limit.
     pub(crate) fn probe(&mut self, now_us: u64) {
         if self.upstream.is_down(now_us) {
             self.on_connect_failure(now_us);
@@ -214,10 +222,10 @@
         });
     }
 
-    fn forget(&mut self, dropped: &[Dropped]) -> NotRun {
+    fn remove_dropped(&mut self, dropped: &[Dropped]) -> NotRun {
         let mut not_run = Vec::new();
         for dropped in dropped {
-            let Some(attempt) = self.waiting.remove(&dropped.key) else { continue };
+            let Some(attempt) = self.queued_attempts.remove(&dropped.key) else { continue };
             not_run.push((attempt, dropped.reason));
         }
         not_run
--- a/crates/fakes/src/model/entry.rs
+++ b/crates/fakes/src/model/entry.rs
@@ -1,4 +1,4 @@
-//! Modelled entry: a shell around the core's admission, routing and hedging, or a plain baseline.
+//! Simulated entry: wraps the admission, routing and hedging of the core, or a plain baseline.
 
 use rand::{Rng, rngs::StdRng};
 use yuccatrail_core::{
@@ -18,22 +18,22 @@
     sim::Mode,
 };
 
-/// Repeated attempts allowed for each hundred completed ones.
+/// Retries and hedges allowed for every hundred completed attempts.
 const RETRIES_PER_HUNDRED: u32 = 20;
-/// Retries that can be saved up for later.
+/// Retries and hedges that can accumulate unused.
 const RETRY_RESERVE: u32 = 10;
 
-/// What an entry knows of one pool.
+/// State that an entry keeps for one pool.
 struct PoolState {
     key: PoolKey,
     view: PoolView,
-    /// Keys of the upstreams with their positions in the fleet.
+    /// Routing keys of the upstreams with their positions in the list of all upstreams.
     upstreams: Vec<(UpstreamKey, usize)>,
     budget: RetryBudget,
     latency: RecentLatency,
 }
 
-/// One entry.
+/// A simulated entry.
 pub(crate) struct Entry {
     pub(crate) data_centre: usize,
     mode: Mode,
@@ -41,11 +41,11 @@
     customers: Vec<CustomerKey>,
     estimates: StageEstimates,
     pools: Vec<PoolState>,
-    /// Choices made so far.
-    turn: u64,
+    /// Number of routing choices so far; the index for round robin.
+    choices_made: u64,
 }
 
-/// A completed attempt as the entry learns from it.
+/// A completed attempt, from which the entry updates its estimates.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Completed {
     pub(crate) upstream: usize,
@@ -56,7 +56,7 @@
 }
 
 impl Entry {
-    /// Creates an entry; `upstreams` holds the pool and data centre of each upstream.
+    /// Creates an entry; `upstreams` holds the pool and the data centre of each upstream.
     pub(crate) fn new(
         mode: Mode,
         data_centre: usize,
@@ -79,7 +79,7 @@
                 keys.push((key, number));
             }
             pools.push(PoolState {
-                key: estimates.register_pool(spec.name, spec.seed()),
+                key: estimates.register_pool(spec.name, spec.declared_estimate()),
                 view,
                 upstreams: keys,
                 budget: RetryBudget::new(RETRIES_PER_HUNDRED, RETRY_RESERVE),
@@ -93,7 +93,7 @@
             declared.push(DeclaredPipeline { deadline_ms: pipeline.deadline_ms, stages });
         }
         admission.set_pipelines(&estimates, &declared);
-        Self { data_centre, mode, admission, customers, estimates, pools, turn: 0 }
+        Self { data_centre, mode, admission, customers, estimates, pools, choices_made: 0 }
     }
 
     pub(crate) fn admit(
@@ -117,7 +117,7 @@
         &mut self.admission
     }
 
-    /// Chooses an upstream for a stage, other than those in `tried`.
+    /// Chooses an upstream for a stage, excluding those in `tried`.
     pub(crate) fn choose(
         &mut self,
         now_ms: u64,
@@ -131,19 +131,19 @@
         let candidates = pool.view.candidates(now_ms, None, &tried);
         let context = ChoiceContext {
             policy: self.mode.routing(),
-            round_robin_index: self.turn,
+            round_robin_index: self.choices_made,
             no_probe: !stage.idempotent,
             ..ChoiceContext::default()
         };
-        self.turn += 1;
+        self.choices_made += 1;
         let random =
             RandomNumbers { first: rng.next_u64(), second: rng.next_u64(), probe: rng.next_u64() };
         let key = choose(&candidates, &context, random)?.key;
         let chosen = pool.upstreams.iter().find(|it| it.0 == key);
-        Ok(chosen.expect("candidates are upstreams of the pool").1)
+        Ok(chosen.expect("every candidate is an upstream of the pool").1)
     }
 
-    pub(crate) fn relax(&mut self) {
+    pub(crate) fn decay_estimates(&mut self) {
         self.estimates.decay_stale();
     }
 
@@ -151,7 +151,7 @@
         self.estimates.expected_ms(self.pools[stage.pool].key, stage.max_tokens)
     }
 
-    pub(crate) fn safe_ms(&self, stage: StageSpec) -> u64 {
+    pub(crate) fn conservative_ms(&self, stage: StageSpec) -> u64 {
         self.estimates.conservative_ms(self.pools[stage.pool].key, stage.max_tokens)
     }
 
@@ -174,7 +174,7 @@
         decide(now_ms, &query, &pool.latency, &mut pool.budget)
     }
 
-    /// Asks for the repetition of a failed attempt.
+    /// Takes a retry from the budget of the pool; the baseline retries without a budget.
     pub(crate) fn may_retry(&mut self, pool: usize) -> bool {
         self.mode == Mode::Baseline || self.pools[pool].budget.try_retry()
     }
@@ -190,7 +190,7 @@
     }
 
     pub(crate) fn on_end(&mut self, now_ms: u64, pool: usize, upstream: usize, end: AttemptEnd) {
-        // The baseline ejects nothing.
+        // The baseline never ejects an upstream, so failures are not reported to the pool view.
         let end = if self.mode == Mode::Baseline { AttemptEnd::NotRun } else { end };
         let key = self.key(pool, upstream);
         self.pools[pool].view.on_end(now_ms, key, end);
@@ -212,6 +212,6 @@
 
     fn key(&self, pool: usize, upstream: usize) -> UpstreamKey {
         let found = self.pools[pool].upstreams.iter().find(|it| it.1 == upstream);
-        found.expect("every upstream is known").0
+        found.expect("the upstream belongs to the pool").0
     }
 }
--- a/crates/fakes/src/model/mod.rs
+++ b/crates/fakes/src/model/mod.rs
@@ -1,7 +1,8 @@
-//! Experiments in virtual time with the decisions of the core.
+//! Discrete-event simulation of a whole deployment in virtual time.
 //!
-//! Arrivals and upstreams are modelled; admission, routing, queueing, capacity and hedging are the
-//! real ones. Every run is determined by its scenario and seed.
+//! Arrivals, network delays and upstreams are modelled; admission, routing, queueing, capacity and
+//! hedging are the real implementations in the core crate. Runs are deterministic: the same
+//! fleet, scenario, mode and seed give the same results.
 
 mod agent;
 mod entry;
--- a/crates/fakes/src/model/outcome.rs
+++ b/crates/fakes/src/model/outcome.rs
@@ -1,81 +1,82 @@
-//! Figures of one run.
+//! Results of one simulation run.
 
 use std::collections::BTreeMap;
 
 use serde::Serialize;
 use yuccatrail_core::accounting::CostLedger;
 
-/// Counts of requests.
+/// Request counts.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Counts {
     /// Requests that arrived.
     pub offered: u64,
-    /// Requests that the entry took on.
+    /// Requests that the entry admitted.
     pub accepted: u64,
-    /// Requests whose whole answer came before the deadline.
+    /// Requests whose last stage completed by the deadline.
     pub on_time: u64,
 }
 
-/// Cost of one stage.
+/// Resources that the attempts of one stage consumed.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Cost {
-    /// Attempts that ran.
+    /// Attempts that the upstreams ran.
     pub attempts: u64,
-    /// Time at upstreams, in milliseconds.
+    /// Time on upstreams, in milliseconds.
     pub engine_ms: u64,
-    /// Part of it that served no answer in time, in milliseconds.
+    /// Part of `engine_ms` that did not contribute to a request completed on time, in milliseconds.
     pub wasted_ms: u64,
-    /// Time waited in agents, in milliseconds.
+    /// Time in the queues of agents, in milliseconds.
     pub queued_ms: u64,
 }
 
-/// Figures of one run.
+/// Results of one simulation run.
 #[derive(Clone, Debug, Default, Serialize)]
 pub struct Outcome {
-    /// All requests that arrived in the measured time.
+    /// Requests that arrived within the measurement window.
     pub all: Counts,
-    /// The same by customer.
+    /// Requests that arrived within the measurement window, by customer.
     pub customers: BTreeMap<&'static str, Counts>,
-    /// The same by pipeline.
+    /// Requests that arrived within the measurement window, by pipeline.
     pub pipelines: BTreeMap<&'static str, Counts>,
-    /// Requests that were not answered in time, by reason, in the measured time.
+    /// Refused and failed requests that arrived within the measurement window, by reason.
     pub reasons: BTreeMap<String, u64>,
-    /// Work of generate stages that was answered on time, relative to the fleet's, in the measured
-    /// time.
+    /// Work of generate stages in requests completed on time within the measurement window, as a
+    /// fraction of what the generate pool can do in that time.
     pub goodput_part: f64,
-    /// Median time to the answer of the requests on time, in milliseconds.
+    /// Median latency of requests completed on time, in milliseconds.
     pub p50_ms: u64,
-    /// 99th percentile of the same, in milliseconds.
+    /// 99th percentile latency of requests completed on time, in milliseconds.
     pub p99_ms: u64,
-    /// Attempts that ran for each stage of a request that ran, over the whole run.
+    /// Attempts that ran per request stage that ran, over the whole run.
     pub load_factor: f64,
-    /// Times that an upstream fell over under load in a cold start, over the whole run.
+    /// Times that a cold upstream crashed because of too many calls, over the whole run.
     pub fell_over: u64,
-    /// Requests without an end when the run was over.
+    /// Requests that had neither completed nor failed when the run ended.
     pub lost: u64,
-    /// Attempts that a data centre took on more than the allowed time after it was taken out.
+    /// Attempts that agents accepted in a data centre after it had been out for longer than a
+    /// notice takes to reach every process.
     pub taken_while_out: u64,
-    /// Cost by pipeline and stage, over the whole run.
+    /// Cost by `pipeline/stage`, over the whole run.
     pub cost: BTreeMap<String, Cost>,
 }
 
 impl Outcome {
-    /// Returns the part of the accepted requests that were answered on time.
+    /// Returns the fraction of accepted requests that completed on time.
     pub fn attainment(&self) -> f64 {
-        part(self.all.on_time, self.all.accepted)
+        fraction(self.all.on_time, self.all.accepted)
     }
 
-    /// Returns the part of the requests that the entry refused.
+    /// Returns the fraction of offered requests that the entry refused.
     pub fn refused_part(&self) -> f64 {
-        1.0 - part(self.all.accepted, self.all.offered)
+        1.0 - fraction(self.all.accepted, self.all.offered)
     }
 
-    /// Returns the part of all requests that were answered on time.
+    /// Returns the fraction of offered requests that completed on time.
     pub fn served_part(&self) -> f64 {
-        part(self.all.on_time, self.all.offered)
+        fraction(self.all.on_time, self.all.offered)
     }
 
-    /// Returns the part of the small customers' requests that were answered on time.
+    /// Returns the fraction of the small customers' requests that completed on time.
     pub fn small_served_part(&self) -> f64 {
         let small = self.customers.iter().filter(|(name, _)| name.starts_with("small"));
         let mut sum = Counts::default();
@@ -83,16 +84,16 @@
             sum.offered += counts.offered;
             sum.on_time += counts.on_time;
         }
-        part(sum.on_time, sum.offered)
+        fraction(sum.on_time, sum.offered)
     }
 
-    /// Returns the part of the engine time that served no answer in time.
+    /// Returns the fraction of engine time that did not contribute to a request completed on time.
     pub fn wasted_part(&self) -> f64 {
         let engine_ms = self.cost.values().map(|it| it.engine_ms).sum();
-        part(self.cost.values().map(|it| it.wasted_ms).sum(), engine_ms)
+        fraction(self.cost.values().map(|it| it.wasted_ms).sum(), engine_ms)
     }
 
-    /// Takes over the cost that the ledger counted.
+    /// Sums up the costs of the ledger over all customers.
     pub(crate) fn set_cost(&mut self, ledger: &CostLedger) {
         for (label, cost) in ledger.stages() {
             let sum = self.cost.entry(format!("{}/{}", label.pipeline, label.stage)).or_default();
@@ -104,6 +105,6 @@
     }
 }
 
-fn part(some: u64, all: u64) -> f64 {
-    if all == 0 { 1.0 } else { some as f64 / all as f64 }
+fn fraction(count: u64, total: u64) -> f64 {
+    if total == 0 { 1.0 } else { count as f64 / total as f64 }
 }
--- a/crates/fakes/src/model/scenario.rs
+++ b/crates/fakes/src/model/scenario.rs
@@ -1,41 +1,44 @@
-//! Scenarios: load over time and what happens to the fleet.
+//! Scenarios: load over time and changes of the fleet.
 
 use crate::model::{
     US_PER_S,
     fleet::{Fleet, GENERATE},
 };
 
-/// Load of the fleet up to a time.
+/// A constant load, which lasts until a point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Phase {
     pub(crate) until_s: u64,
-    /// Arrivals as a multiple of what the fleet can answer.
+    /// Arrival rate as a multiple of the capacity of the fleet.
     pub(crate) load: f64,
 }
 
-/// Change of the fleet.
+/// A change of the fleet at one point in time.
 #[derive(Clone, Copy, Debug)]
 pub(crate) enum Change {
-    /// Slows down every upstream of the pool whose position is divisible by `every`.
+    /// Multiplies the call durations of every `every`-th upstream of a pool, from the first on, by
+    /// `factor`.
     Slow { pool: usize, every: usize, factor: f64 },
-    /// Restarts all upstreams of a pool, which then are cold.
+    /// Restarts all upstreams of a pool, which are cold afterwards.
     Restart { pool: usize },
-    /// Takes a data centre out or back.
+    /// Takes a data centre out of service or returns it.
     DataCentre { data_centre: usize, out: bool },
 }
 
-/// How the arrivals are divided between customers.
+/// How arrivals are distributed over customers.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) enum Demand {
-    /// By share.
+    /// In proportion to the shares.
     ByShare,
-    /// Small customers stay within this part of their share; the large ones bring the rest.
+    /// Small customers send at most this fraction of their share of the capacity; large customers
+    /// send the rest.
     SmallWithin(f64),
-    /// As above, but the rest comes from the first customer alone.
+    /// All customers but the first send at most this fraction of their share of the capacity; the
+    /// first customer sends the rest.
     Flood(f64),
 }
 
-/// Load over time and what happens meanwhile.
+/// Load over time and the changes of the fleet during it.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Name in the results.
@@ -43,7 +46,7 @@
     pub(crate) phases: Vec<Phase>,
     pub(crate) demand: Demand,
     pub(crate) changes: Vec<(u64, Change)>,
-    /// Time in which the outcome is measured, in seconds.
+    /// Measurement window: start and end in seconds.
     pub(crate) measured_s: (u64, u64),
 }
 
@@ -57,29 +60,28 @@
         phase.map_or(0.0, |it| it.load)
     }
 
-    /// Returns the part of the arrivals that a customer sends under a load.
-    pub(crate) fn part(&self, fleet: &Fleet, customer: usize, load: f64) -> f64 {
+    /// Returns the fraction of the arrivals that a customer sends at a load.
+    pub(crate) fn arrival_fraction(&self, fleet: &Fleet, customer: usize, load: f64) -> f64 {
         let total: u32 = fleet.customers.iter().map(|it| it.share).sum();
         let share_of = |it: usize| f64::from(fleet.customers[it].share) / f64::from(total);
-        let within = match self.demand {
+        let limit = match self.demand {
             Demand::ByShare => return share_of(customer),
-            Demand::SmallWithin(within) | Demand::Flood(within) => within,
+            Demand::SmallWithin(fraction) | Demand::Flood(fraction) => fraction,
         };
 
         let is_flood = matches!(self.demand, Demand::Flood(_));
-        let brings_rest =
-            |it: usize| if is_flood { it == 0 } else { fleet.customers[it].share > 1 };
-        let fixed = |it: usize| (within * share_of(it) / load).min(share_of(it));
-        if !brings_rest(customer) {
+        let sends_rest = |it: usize| if is_flood { it == 0 } else { fleet.customers[it].share > 1 };
+        let fixed = |it: usize| (limit * share_of(it) / load).min(share_of(it));
+        if !sends_rest(customer) {
             return fixed(customer);
         }
-        let everyone = 0..fleet.customers.len();
-        let others: f64 = everyone.clone().filter(|it| !brings_rest(*it)).map(fixed).sum();
-        (1.0 - others) / everyone.filter(|it| brings_rest(*it)).count() as f64
+        let all_customers = 0..fleet.customers.len();
+        let others: f64 = all_customers.clone().filter(|it| !sends_rest(*it)).map(fixed).sum();
+        (1.0 - others) / all_customers.filter(|it| sends_rest(*it)).count() as f64
     }
 }
 
-/// Returns the scenarios in the order in which they run.
+/// Returns all scenarios, in the order in which they run.
 pub fn scenarios() -> Vec<Scenario> {
     let constant = |load| vec![Phase { until_s: 70, load }];
     let scenario = |name, phases, changes| Scenario {
--- a/crates/fakes/src/model/sim/mod.rs
+++ b/crates/fakes/src/model/sim/mod.rs
@@ -1,4 +1,4 @@
-//! Event loop in virtual time.
+//! Event loop of the simulation, in virtual time.
 
 mod agents;
 mod requests;
@@ -19,45 +19,45 @@
     US_PER_MS, US_PER_S,
     agent::{Agent, Submission},
     entry::Entry,
-    fleet::{Fleet, GENERATE, MIN_TOKEN_PART, StageSpec},
+    fleet::{Fleet, GENERATE, MIN_TOKEN_FRACTION, StageSpec},
     outcome::Outcome,
     scenario::Scenario,
 };
 
-/// Time between two probes of an upstream.
-const PROBE_US: u64 = 250 * US_PER_MS;
+/// Interval at which agents probe their upstreams.
+const PROBE_INTERVAL_US: u64 = 250 * US_PER_MS;
 
-/// Time between two load reports from each agent to each entry.
-const SYNC_US: u64 = 500 * US_PER_MS;
+/// Interval at which each agent reports its load to each entry.
+const LOAD_REPORT_INTERVAL_US: u64 = 500 * US_PER_MS;
 
-/// Time after which an entry without a choice tries again.
-const RECHOOSE_US: u64 = 20 * US_PER_MS;
+/// Delay after which an entry that found no eligible upstream chooses again.
+const CHOICE_RETRY_US: u64 = 20 * US_PER_MS;
 
-/// Longest time that a process takes to learn that a data centre is out.
-const NOTICE_US: u64 = 2 * US_PER_S;
+/// Longest delay until a process learns that a data centre was taken out or returned.
+const MAX_NOTICE_DELAY_US: u64 = 2 * US_PER_S;
 
-/// Attempts of one stage.
+/// Most attempts for one stage of a request.
 const MAX_ATTEMPTS: usize = 4;
 
-/// Longest part by which the duration of a call deviates from the usual one.
-const NOISE: f64 = 0.2;
+/// Largest deviation of a call's duration from its mean, as a fraction of the mean.
+const MAX_DURATION_DEVIATION: f64 = 0.2;
 
-/// Time between processes of one data centre.
+/// One-way delay of a message within a data centre.
 const LOCAL_HOP_US: u64 = 200;
 
-/// Whose decisions a run makes.
+/// Policies that a run uses.
 #[derive(Clone, Copy, Debug, Display, PartialEq, Eq)]
 pub enum Mode {
-    /// The decisions of the core.
+    /// All policies of the core.
     #[display("policy")]
     Managed,
-    /// The decisions of the core but for the choice of upstreams, which is random.
+    /// The policies of the core, but with random routing.
     #[display("random")]
     ManagedRandom,
-    /// The decisions of the core but for the choice of upstreams, which go in turn.
+    /// The policies of the core, but with round-robin routing.
     #[display("in turn")]
     ManagedRoundRobin,
-    /// Random choice, first come first served, no admission, no ramp.
+    /// Random routing, FIFO queues and fixed concurrency limits, without admission control.
     #[display("baseline")]
     Baseline,
 }
@@ -77,9 +77,9 @@
     Arrive,
     Deliver(usize),
     EngineDone(usize),
-    Reply(usize, Answer),
+    Reply(usize, ReplyKind),
     Cancel(usize),
-    Rechoose(usize, usize),
+    RetryChoice(usize, usize),
     Hedge(usize),
     Deadline(usize),
     AgentTick(usize),
@@ -91,7 +91,7 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-enum Answer {
+enum ReplyKind {
     Completed,
     NotRun,
     Abandoned,
@@ -104,15 +104,15 @@
     entry: usize,
     arrived_us: u64,
     deadline_us: u64,
-    token_part: f64,
+    token_fraction: f64,
     admission: Option<AdmissionKey>,
     plan: Option<Plan>,
     stage: usize,
-    /// Attempts of the current stage.
+    /// Attempts for the current stage.
     attempts: Vec<usize>,
-    /// Cost of the attempts that ended, with whether they served the answer.
-    spent: Vec<(usize, Usage, bool)>,
-    /// Stages of which at least one attempt ran.
+    /// Usage of the attempts that ended, and whether the request used their results.
+    attempt_costs: Vec<(usize, Usage, bool)>,
+    /// Number of stages for which at least one attempt ran.
     stages_run: usize,
     ended: bool,
 }
@@ -132,8 +132,9 @@
     expected_ms: u64,
     submission: Submission,
     state: State,
+    /// Load of the agent when it sent the reply.
     load: Option<LoadReport>,
-    answered: bool,
+    replied: bool,
     hedge: bool,
 }
 
@@ -141,26 +142,30 @@
     fleet: &'a Fleet,
     scenario: &'a Scenario,
     mode: Mode,
-    /// Draws the arrivals, which are the same whatever the decisions are.
+    /// Random numbers for the arrivals alone, so that all modes get the same arrivals.
     arrivals: StdRng,
     rng: StdRng,
     now_us: u64,
+    /// Number of scheduled events; orders events that are due at the same time.
     sequence: u64,
+    /// Due times in microseconds, sequence numbers and events; the earliest event comes first.
     events: BinaryHeap<Reverse<(u64, u64, Event)>>,
     entries: Vec<Entry>,
     agents: Vec<Agent>,
     requests: Vec<Request>,
     attempts: Vec<Attempt>,
+    /// Times at which the data centres that are out were taken out, by data centre.
     out_since_us: Vec<Option<u64>>,
     ledger: CostLedger,
     outcome: Outcome,
     latencies_ms: Vec<u64>,
+    /// Work of generate stages in requests completed on time, for `goodput_part`.
     on_time_work_ms: f64,
     stages_run: u64,
     attempts_run: u64,
 }
 
-/// Runs a scenario to its end.
+/// Runs a scenario until no events are left.
 pub fn run(fleet: &Fleet, scenario: &Scenario, mode: Mode, seed: u64) -> Outcome {
     let mut sim = Sim::new(fleet, scenario, mode, seed);
     while let Some(Reverse((at_us, _, event))) = sim.events.pop() {
@@ -204,11 +209,11 @@
             stages_run: 0,
             attempts_run: 0,
         };
-        sim.after(0, Event::Probe);
-        sim.after(0, Event::Sync);
-        sim.after(0, Event::Arrive);
+        sim.schedule_after(0, Event::Probe);
+        sim.schedule_after(0, Event::Sync);
+        sim.schedule_after(0, Event::Arrive);
         for (index, (at_s, _)) in scenario.changes.iter().enumerate() {
-            sim.after(at_s * US_PER_S, Event::Change(index));
+            sim.schedule_after(at_s * US_PER_S, Event::Change(index));
         }
         sim
     }
@@ -217,7 +222,7 @@
         self.now_us / US_PER_MS
     }
 
-    fn after(&mut self, delay_us: u64, event: Event) {
+    fn schedule_after(&mut self, delay_us: u64, event: Event) {
         self.sequence += 1;
         self.events.push(Reverse((self.now_us + delay_us, self.sequence, event)));
     }
@@ -227,16 +232,16 @@
             Event::Arrive => self.on_arrive(),
             Event::Deliver(attempt) => self.on_deliver(attempt),
             Event::EngineDone(attempt) => self.on_engine_done(attempt),
-            Event::Reply(attempt, answer) => self.on_reply(attempt, answer),
+            Event::Reply(attempt, reply) => self.on_reply(attempt, reply),
             Event::Cancel(attempt) => self.on_cancel(attempt),
-            Event::Rechoose(request, stage) => {
+            Event::RetryChoice(request, stage) => {
                 if !self.requests[request].ended && self.requests[request].stage == stage {
                     self.send(request, false);
                 }
             }
             Event::Hedge(attempt) => self.consider_hedge(attempt),
             Event::Deadline(request) => self.on_deadline(request),
-            Event::AgentTick(agent) => self.pump(agent),
+            Event::AgentTick(agent) => self.dispatch_queued(agent),
             Event::Probe => self.on_probe(),
             Event::Sync => self.on_sync(),
             Event::Change(index) => self.on_change(self.scenario.changes[index].1),
@@ -265,14 +270,16 @@
         let rate_per_s = load * self.fleet.capacity_per_s();
         let uniform: f64 = self.arrivals.random_range(f64::EPSILON..1.0);
         let gap_us = -uniform.ln() / rate_per_s * US_PER_S as f64;
-        self.after(gap_us as u64, Event::Arrive);
+        self.schedule_after(gap_us as u64, Event::Arrive);
 
         let customers = 0..self.fleet.customers.len();
-        let parts =
-            customers.map(|it| self.scenario.part(self.fleet, it, load)).collect::<Vec<_>>();
-        let customer = self.draw(&parts);
-        let parts: Vec<f64> = self.fleet.pipelines.iter().map(|it| it.part).collect();
-        let pipeline = self.draw(&parts);
+        let fractions = customers
+            .map(|it| self.scenario.arrival_fraction(self.fleet, it, load))
+            .collect::<Vec<_>>();
+        let customer = self.draw(&fractions);
+        let fractions: Vec<f64> =
+            self.fleet.pipelines.iter().map(|it| it.arrival_fraction).collect();
+        let pipeline = self.draw(&fractions);
         let open = |it: &usize| self.out_since_us[*it].is_none();
         let open: Vec<usize> = (0..self.entries.len()).filter(open).collect();
         let entry = open[self.rng.random_range(0..open.len())];
@@ -284,28 +291,28 @@
             entry,
             arrived_us: self.now_us,
             deadline_us: self.now_us + deadline_ms * US_PER_MS,
-            token_part: self.arrivals.random_range(MIN_TOKEN_PART..1.0),
+            token_fraction: self.arrivals.random_range(MIN_TOKEN_FRACTION..1.0),
             admission: None,
             plan: None,
             stage: 0,
             attempts: Vec::new(),
-            spent: Vec::new(),
+            attempt_costs: Vec::new(),
             stages_run: 0,
             ended: false,
         });
         self.admit(self.requests.len() - 1);
     }
 
-    /// Draws a position with the given probabilities.
-    fn draw(&mut self, parts: &[f64]) -> usize {
-        let mut left = self.arrivals.random_range(0.0..parts.iter().sum());
-        for (position, part) in parts.iter().enumerate() {
-            if left < *part {
+    /// Draws an index with a probability in proportion to its fraction.
+    fn draw(&mut self, fractions: &[f64]) -> usize {
+        let mut left = self.arrivals.random_range(0.0..fractions.iter().sum());
+        for (position, fraction) in fractions.iter().enumerate() {
+            if left < *fraction {
                 return position;
             }
-            left -= part;
+            left -= fraction;
         }
-        parts.len() - 1
+        fractions.len() - 1
     }
 
     fn admit(&mut self, index: usize) {
@@ -321,13 +328,13 @@
                     request.plan = Some(admitted.plan);
                 }
                 Err(refusal) => {
-                    self.end(index, false, Some(refusal.reason));
+                    self.end_request(index, false, Some(refusal.reason));
                     return;
                 }
             }
         }
         let deadline_us = self.requests[index].deadline_us;
-        self.after(deadline_us - self.now_us, Event::Deadline(index));
+        self.schedule_after(deadline_us - self.now_us, Event::Deadline(index));
         self.send(index, false);
     }
 
--- a/crates/fakes/src/model/sim/requests.rs
+++ b/crates/fakes/src/model/sim/requests.rs
@@ -1,4 +1,4 @@
-//! Course of a request at its entry.
+//! Event handlers for requests at their entries.
 
 use yuccatrail_core::{
     accounting::{StageLabel, WorkOutcome},
@@ -13,18 +13,18 @@
     agent::Submission,
     entry::Completed,
     fleet::GENERATE,
-    sim::{Answer, Attempt, Event, MAX_ATTEMPTS, Mode, RECHOOSE_US, Sim, State},
+    sim::{Attempt, CHOICE_RETRY_US, Event, MAX_ATTEMPTS, Mode, ReplyKind, Sim, State},
 };
 
 impl Sim<'_> {
-    /// Sends an attempt for the current stage of a request.
+    /// Sends an attempt for the current stage of a request to an upstream that was not tried yet.
     pub(super) fn send(&mut self, index: usize, hedge: bool) {
         let now_ms = self.now_ms();
         let request = &self.requests[index];
         let stage = self.stage(request);
         let fits = request.plan.as_ref().is_none_or(|it| it.fits(now_ms, request.stage));
         if !hedge && !fits {
-            self.end(index, false, Some(Reason::DeadlineUnreachable));
+            self.end_request(index, false, Some(Reason::DeadlineUnreachable));
             return;
         }
         let tried: Vec<usize> =
@@ -32,7 +32,10 @@
         let entry = &mut self.entries[request.entry];
         let Ok(upstream) = entry.choose(now_ms, stage, &tried, &mut self.rng) else {
             if !hedge {
-                self.after(RECHOOSE_US, Event::Rechoose(index, self.requests[index].stage));
+                self.schedule_after(
+                    CHOICE_RETRY_US,
+                    Event::RetryChoice(index, self.requests[index].stage),
+                );
             }
             return;
         };
@@ -47,7 +50,7 @@
             attempt,
             customer: request.customer,
             deadline_ms: finish_by_ms,
-            estimate_ms: entry.safe_ms(stage),
+            estimate_ms: entry.conservative_ms(stage),
         };
         self.attempts.push(Attempt {
             request: index,
@@ -58,7 +61,7 @@
             submission,
             state: State::Waiting,
             load: None,
-            answered: false,
+            replied: false,
             hedge,
         });
         if let (Some(key), true) = (request.admission, request.attempts.is_empty()) {
@@ -66,7 +69,7 @@
         }
         self.requests[index].attempts.push(attempt);
         let delay_us = self.delay_us(attempt);
-        self.after(delay_us, Event::Deliver(attempt));
+        self.schedule_after(delay_us, Event::Deliver(attempt));
         if self.mode != Mode::Baseline && !hedge {
             self.consider_hedge(attempt);
         }
@@ -75,14 +78,14 @@
     pub(super) fn consider_hedge(&mut self, index: usize) {
         let attempt = &self.attempts[index];
         let request = &self.requests[attempt.request];
-        if request.ended || request.stage != attempt.stage || attempt.answered {
+        if request.ended || request.stage != attempt.stage || attempt.replied {
             return;
         }
         let stage = self.stage(request);
-        let live = request.attempts.iter().filter(|it| !self.attempts[**it].answered).count();
+        let in_flight = request.attempts.iter().filter(|it| !self.attempts[**it].replied).count();
         let query = HedgeQuery {
             idempotent: stage.idempotent,
-            hedged: live > 1 || attempt.hedge,
+            hedged: in_flight > 1 || attempt.hedge,
             sent_ms: attempt.sent_us / US_PER_MS,
             expected_ms: attempt.expected_ms,
             finish_by_ms: attempt.submission.deadline_ms,
@@ -95,38 +98,38 @@
             HedgeDecision::Hedge => self.send(request, true),
             HedgeDecision::WaitUntil(at_ms) => {
                 let delay_us = (at_ms * US_PER_MS).saturating_sub(self.now_us);
-                self.after(delay_us, Event::Hedge(index));
+                self.schedule_after(delay_us, Event::Hedge(index));
             }
             HedgeDecision::No(_) => {}
         }
     }
 
-    pub(super) fn on_reply(&mut self, index: usize, answer: Answer) {
+    pub(super) fn on_reply(&mut self, index: usize, reply: ReplyKind) {
         let now_ms = self.now_ms();
         let attempt = &mut self.attempts[index];
-        if attempt.answered {
+        if attempt.replied {
             return;
         }
-        attempt.answered = true;
+        attempt.replied = true;
         let request = &self.requests[attempt.request];
         let stage = self.fleet.pipelines[request.pipeline].stages[attempt.stage];
         let entry = &mut self.entries[request.entry];
         if let Some(load) = attempt.load {
             entry.on_load(now_ms, stage.pool, attempt.upstream, load);
         }
-        match (answer, attempt.state) {
-            (Answer::Completed, State::Ended(usage)) => {
+        match (reply, attempt.state) {
+            (ReplyKind::Completed, State::Ended(usage)) => {
                 let latency_ms = (self.now_us - attempt.sent_us) / US_PER_MS;
                 let (upstream, expected_ms) = (attempt.upstream, attempt.expected_ms);
                 let completed = Completed { upstream, stage, expected_ms, latency_ms, usage };
                 entry.on_completed(now_ms, completed);
                 self.advance(index);
             }
-            (Answer::Lost, _) => {
+            (ReplyKind::Lost, _) => {
                 entry.on_end(now_ms, stage.pool, attempt.upstream, AttemptEnd::Failed);
                 self.retry(index, true);
             }
-            (Answer::Abandoned, State::Ended(usage)) => {
+            (ReplyKind::Abandoned, State::Ended(usage)) => {
                 let ratio = usage.engine_ms as f64 / attempt.expected_ms.max(1) as f64;
                 let end = AttemptEnd::Abandoned { ratio };
                 entry.on_end(now_ms, stage.pool, attempt.upstream, end);
@@ -138,23 +141,23 @@
         }
     }
 
-    /// Goes on with the next stage of a request, or answers it.
+    /// Starts the next stage of a request, or ends the request after its last stage.
     pub(super) fn advance(&mut self, index: usize) {
         let (request_index, stage) = (self.attempts[index].request, self.attempts[index].stage);
         let request = &mut self.requests[request_index];
         if request.ended || request.stage != stage {
             return;
         }
-        for spent in request.spent.iter_mut().filter(|it| it.0 == index) {
-            spent.2 = true;
+        for cost in request.attempt_costs.iter_mut().filter(|it| it.0 == index) {
+            cost.2 = true;
         }
         request.stage += 1;
-        let losers = std::mem::take(&mut request.attempts);
+        let superseded = std::mem::take(&mut request.attempts);
         let is_last = request.stage == self.fleet.pipelines[request.pipeline].stages.len();
-        self.cancel(&losers);
+        self.cancel(&superseded);
         if is_last {
             let on_time = self.now_us <= self.requests[request_index].deadline_us;
-            self.end(request_index, on_time, None);
+            self.end_request(request_index, on_time, None);
         } else {
             self.send(request_index, false);
         }
@@ -166,7 +169,7 @@
         if request.ended || request.stage != attempt.stage {
             return;
         }
-        if request.attempts.iter().any(|it| !self.attempts[*it].answered) {
+        if request.attempts.iter().any(|it| !self.attempts[*it].replied) {
             return;
         }
 
@@ -179,12 +182,12 @@
             return;
         }
         let reason = if lost { Reason::UpstreamLost } else { Reason::Busy };
-        self.end(request_index, false, Some(reason));
+        self.end_request(request_index, false, Some(reason));
     }
 
     pub(super) fn on_deadline(&mut self, index: usize) {
         if !self.requests[index].ended {
-            self.end(index, false, Some(Reason::DeadlineExpired));
+            self.end_request(index, false, Some(Reason::DeadlineExpired));
         }
     }
 
@@ -193,35 +196,35 @@
             return;
         }
         for &attempt in attempts {
-            if self.attempts[attempt].answered {
+            if self.attempts[attempt].replied {
                 continue;
             }
             let delay_us = self.delay_us(attempt);
-            self.after(delay_us, Event::Cancel(attempt));
+            self.schedule_after(delay_us, Event::Cancel(attempt));
         }
     }
 
-    /// Ends a request and counts it.
-    pub(super) fn end(&mut self, index: usize, on_time: bool, reason: Option<Reason>) {
-        let live = std::mem::take(&mut self.requests[index].attempts);
-        self.cancel(&live);
+    /// Ends a request, cancels its attempts in flight and adds it to the results.
+    pub(super) fn end_request(&mut self, index: usize, on_time: bool, reason: Option<Reason>) {
+        let in_flight = std::mem::take(&mut self.requests[index].attempts);
+        self.cancel(&in_flight);
         let request = &mut self.requests[index];
         request.ended = true;
         let accepted = self.mode == Mode::Baseline || request.admission.is_some();
         if let Some(key) = request.admission {
             self.entries[request.entry].admission().finish(key);
         }
-        let spent = std::mem::take(&mut request.spent);
-        for (attempt, usage, used) in spent {
-            self.charge(index, self.attempts[attempt].stage, usage, used && on_time);
+        let attempt_costs = std::mem::take(&mut request.attempt_costs);
+        for (attempt, usage, used) in attempt_costs {
+            self.record_cost(index, self.attempts[attempt].stage, usage, used && on_time);
         }
 
         let request = &self.requests[index];
         let pipeline = &self.fleet.pipelines[request.pipeline];
         if on_time && self.is_measured(self.now_us) {
             for stage in pipeline.stages.iter().filter(|it| it.pool == GENERATE) {
-                let tokens = f64::from(stage.max_tokens) * request.token_part;
-                self.on_time_work_ms += self.fleet.pools[GENERATE].full_run_ms(tokens);
+                let tokens = f64::from(stage.max_tokens) * request.token_fraction;
+                self.on_time_work_ms += self.fleet.pools[GENERATE].saturated_run_ms(tokens);
             }
         }
         if !self.is_measured(request.arrived_us) {
@@ -247,14 +250,14 @@
         }
     }
 
-    pub(super) fn charge(&mut self, request: usize, stage: usize, usage: Usage, used: bool) {
+    pub(super) fn record_cost(&mut self, request: usize, stage: usize, usage: Usage, used: bool) {
         let request = &self.requests[request];
         let label = StageLabel {
             pipeline: self.fleet.pipelines[request.pipeline].name.to_owned(),
             customer: self.fleet.customers[request.customer].name.to_owned(),
             stage: StageIndex(stage as u8),
         };
-        let worth = if used { WorkOutcome::Used } else { WorkOutcome::Wasted };
-        self.ledger.on_attempt(&label, usage, worth);
+        let work_outcome = if used { WorkOutcome::Used } else { WorkOutcome::Wasted };
+        self.ledger.on_attempt(&label, usage, work_outcome);
     }
 }
--- a/crates/fakes/src/model/upstream.rs
+++ b/crates/fakes/src/model/upstream.rs
@@ -1,31 +1,32 @@
-//! Modelled upstream: batch slowdown, cold start and falling over.
+//! Simulated upstream: slowdown by concurrent calls, cold start and crash under overload.
 
 use crate::model::{US_PER_MS, US_PER_S, fleet::PoolSpec};
 
-/// Time for which an upstream refuses connections after it stopped.
+/// Time for which an upstream refuses connections while it restarts.
 const RESTART_US: u64 = 3 * US_PER_S;
 
-/// Time for which an upstream is cold after it restarted.
+/// Time for which an upstream is cold after it accepts connections again.
 const COLD_US: u64 = 6 * US_PER_S;
 
-/// Factor by which calls take longer on a cold upstream.
+/// Factor on the duration of calls on a cold upstream.
 const COLD_FACTOR: f64 = 3.0;
 
-/// Result of the start of a call.
+/// Result of starting a call.
 #[derive(Clone, Debug, PartialEq)]
-pub(crate) enum Start {
-    /// The call runs for this time.
-    Runs { run_us: u64 },
+pub(crate) enum StartResult {
+    /// The call runs for `run_us`.
+    Started { run_us: u64 },
     /// The connection was refused.
     Refused,
-    /// The upstream stopped under the load; these calls are lost.
-    FellOver { lost: Vec<usize> },
+    /// A cold upstream got more calls than it can bear and crashed; `lost` holds its calls.
+    Overloaded { lost: Vec<usize> },
 }
 
-/// One modelled upstream; calls are named by the positions of their attempts.
+/// A simulated upstream; calls are identified by the indices of their attempts.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Upstream {
     pub(crate) boot_id: u64,
+    /// Factor on the duration of all calls.
     pub(crate) slow_factor: f64,
     pub(crate) running: Vec<usize>,
     down_until_us: u64,
@@ -45,7 +46,7 @@
         now_us < self.cold_until_us
     }
 
-    /// Starts a call whose duration varies by the factor `noise`.
+    /// Starts a call; `noise` is a random factor on its duration.
     pub(crate) fn start(
         &mut self,
         now_us: u64,
@@ -53,29 +54,29 @@
         spec: &PoolSpec,
         tokens: f64,
         noise: f64,
-    ) -> Start {
+    ) -> StartResult {
         if self.is_down(now_us) {
-            return Start::Refused;
+            return StartResult::Refused;
         }
         let others = self.running.len();
         self.running.push(call);
         if self.is_cold(now_us) && self.running.len() > spec.limits.cold_concurrency as usize {
-            return Start::FellOver { lost: self.restart(now_us) };
+            return StartResult::Overloaded { lost: self.restart(now_us) };
         }
 
         let cold_factor = if self.is_cold(now_us) { COLD_FACTOR } else { 1.0 };
         let run_ms = spec.run_ms(tokens, others) * noise * cold_factor * self.slow_factor;
-        Start::Runs { run_us: (run_ms * US_PER_MS as f64) as u64 }
+        StartResult::Started { run_us: (run_ms * US_PER_MS as f64) as u64 }
     }
 
-    /// Ends a call; returns whether it was running.
+    /// Removes a call that completed or was cancelled; returns whether it was running.
     pub(crate) fn end(&mut self, call: usize) -> bool {
         let Some(position) = self.running.iter().position(|it| *it == call) else { return false };
         self.running.swap_remove(position);
         true
     }
 
-    /// Stops and restarts the upstream; returns the calls that are lost.
+    /// Restarts the upstream, which is cold afterwards; returns the calls that are lost.
     pub(crate) fn restart(&mut self, now_us: u64) -> Vec<usize> {
         self.boot_id += 1;
         self.down_until_us = now_us + RESTART_US;
