--- a/crates/fakes/src/stack/caller.rs
+++ b/crates/fakes/src/stack/caller.rs
@@ -1,4 +1,4 @@
-//! HTTP caller for tests and demonstrations.
+//! HTTP client for tests and demonstrations.
 
 use std::net::SocketAddr;
 
@@ -14,37 +14,37 @@
 };
 use serde_json::{Value, json};
 
-/// The HTTP exchange broke.
+/// The HTTP exchange failed or its response could not be decoded.
 #[derive(Clone, Debug, Display, Error, PartialEq, Eq)]
 #[display("{detail}")]
 pub struct CallerError {
-    /// What went wrong.
+    /// Description of the failure.
     pub detail: String,
 }
 
-/// Whole answer to a request.
+/// Response that was received to its end.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Answer {
-    /// HTTP status.
+pub struct ReceivedResponse {
+    /// HTTP status code.
     pub status: u16,
-    /// Headers.
+    /// Response headers.
     pub headers: HeaderMap,
     /// JSON body; null when the body is not JSON.
     pub body: Value,
 }
 
-/// Streamed answer to a pipeline request.
+/// Response to a pipeline request that was sent as a stream of events.
 #[derive(Clone, Debug, Default, PartialEq)]
-pub struct StreamedAnswer {
-    /// Texts of the `text` events, joined.
+pub struct StreamedResponse {
+    /// Concatenated texts of the `text` events.
     pub text: String,
-    /// Data of the `done` event.
+    /// Data of the `done` event, if the stream had one.
     pub done: Option<Value>,
-    /// Data of the `problem` event, or the problem document itself.
+    /// Data of the `problem` event, or the problem document that was sent instead of a stream.
     pub problem: Option<Value>,
 }
 
-/// Sends requests to entries and stand-ins.
+/// Sends requests to entries and stand-ins on behalf of one customer.
 #[derive(Clone, Debug)]
 pub struct Caller {
     client: Client<HttpConnector, Full<Bytes>>,
@@ -60,17 +60,17 @@
         Self { client, customer: customer.to_owned() }
     }
 
-    /// Requests a pipeline and waits for the whole answer.
+    /// Requests a pipeline and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn pipeline(
         &self,
         entry: SocketAddr,
         name: &str,
         input: &str,
-    ) -> Result<Answer, CallerError> {
+    ) -> Result<ReceivedResponse, CallerError> {
         let body = json!({ "input": input }).to_string();
         self.send(entry, "POST", &format!("/v1/pipelines/{name}"), &[], body).await
     }
@@ -79,76 +79,80 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn pipeline_stream(
         &self,
         entry: SocketAddr,
         name: &str,
         input: &str,
-    ) -> Result<StreamedAnswer, CallerError> {
+    ) -> Result<StreamedResponse, CallerError> {
         self.pipeline_stream_observed(entry, name, input, |_| {}).await
     }
 
-    /// Requests a pipeline as a stream and passes each text to `on_text` as it arrives.
+    /// Requests a pipeline as a stream of events and passes each text to `on_text` as it arrives.
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn pipeline_stream_observed(
         &self,
         entry: SocketAddr,
         name: &str,
         input: &str,
         on_text: impl FnMut(&str),
-    ) -> Result<StreamedAnswer, CallerError> {
+    ) -> Result<StreamedResponse, CallerError> {
         let body = json!({ "input": input }).to_string();
         let path = format!("/v1/pipelines/{name}");
-        let response =
-            self.open(entry, "POST", &path, &[("accept", "text/event-stream")], body).await?;
+        let response = self
+            .send_for_head(entry, "POST", &path, &[("accept", "text/event-stream")], body)
+            .await?;
         if !response.status().is_success() {
-            let answer = read_answer(response).await?;
-            return Ok(StreamedAnswer { problem: Some(answer.body), ..StreamedAnswer::default() });
+            let received = read_response(response).await?;
+            return Ok(StreamedResponse {
+                problem: Some(received.body),
+                ..StreamedResponse::default()
+            });
         }
         read_stream(response, on_text).await
     }
 
-    /// Makes a service call that may not be repeated.
+    /// Sends a non-idempotent service call with an idempotency key.
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn notice(
         &self,
         entry: SocketAddr,
         key: &str,
         headers: &[(&str, &str)],
-    ) -> Result<Answer, CallerError> {
+    ) -> Result<ReceivedResponse, CallerError> {
         let mut headers = headers.to_vec();
         headers.push(("idempotency-key", key));
         let path = "/v1/services/work-orders/notices";
         self.send(entry, "POST", path, &headers, json!({ "notice": key }).to_string()).await
     }
 
-    /// Makes a service call that may be repeated.
+    /// Sends an idempotent service call.
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn search(
         &self,
         entry: SocketAddr,
         body: &str,
         headers: &[(&str, &str)],
-    ) -> Result<Answer, CallerError> {
+    ) -> Result<ReceivedResponse, CallerError> {
         let path = "/v1/services/work-orders/search";
         self.send(entry, "POST", path, headers, body.to_owned()).await
     }
 
-    /// Sends any request and waits for the whole answer.
+    /// Sends a request and waits for the complete response.
     ///
     /// # Errors
     ///
-    /// Returns an error when the HTTP exchange breaks.
+    /// Returns an error when the HTTP exchange fails.
     pub async fn send(
         &self,
         address: SocketAddr,
@@ -156,13 +160,13 @@
         path: &str,
         headers: &[(&str, &str)],
         body: impl Into<Bytes>,
-    ) -> Result<Answer, CallerError> {
-        let response = self.open(address, method, path, headers, body).await?;
-        read_answer(response).await
+    ) -> Result<ReceivedResponse, CallerError> {
+        let response = self.send_for_head(address, method, path, headers, body).await?;
+        read_response(response).await
     }
 
-    /// Sends any request and returns the answer with its body unread.
-    pub(crate) async fn open(
+    /// Sends a request and returns the response once its head has arrived, with the body unread.
+    pub(crate) async fn send_for_head(
         &self,
         address: SocketAddr,
         method: &str,
@@ -178,44 +182,44 @@
         for (name, value) in headers {
             builder = builder.header(*name, *value);
         }
-        let request = builder.body(Full::new(body.into())).map_err(broken)?;
-        self.client.request(request).await.map_err(broken)
+        let request = builder.body(Full::new(body.into())).map_err(caller_error)?;
+        self.client.request(request).await.map_err(caller_error)
     }
 }
 
-async fn read_answer(response: Response<Incoming>) -> Result<Answer, CallerError> {
+async fn read_response(response: Response<Incoming>) -> Result<ReceivedResponse, CallerError> {
     let status = response.status().as_u16();
     let headers = response.headers().clone();
-    let bytes = response.into_body().collect().await.map_err(broken)?.to_bytes();
+    let bytes = response.into_body().collect().await.map_err(caller_error)?.to_bytes();
     let body = serde_json::from_slice(&bytes).unwrap_or(Value::Null);
-    Ok(Answer { status, headers, body })
+    Ok(ReceivedResponse { status, headers, body })
 }
 
 async fn read_stream(
     response: Response<Incoming>,
     mut on_text: impl FnMut(&str),
-) -> Result<StreamedAnswer, CallerError> {
+) -> Result<StreamedResponse, CallerError> {
     let chunks = BodyStream::new(response.into_body())
         .filter_map(|frame| async move { frame.map(|it| it.into_data().ok()).transpose() });
     let mut events = std::pin::pin!(chunks.eventsource());
-    let mut answer = StreamedAnswer::default();
+    let mut streamed = StreamedResponse::default();
     while let Some(event) = events.next().await {
-        let event = event.map_err(broken)?;
-        let data: Value = serde_json::from_str(&event.data).map_err(broken)?;
+        let event = event.map_err(caller_error)?;
+        let data: Value = serde_json::from_str(&event.data).map_err(caller_error)?;
         match event.event.as_str() {
             "text" => {
                 let text = data["text"].as_str().unwrap_or_default();
                 on_text(text);
-                answer.text.push_str(text);
+                streamed.text.push_str(text);
             }
-            "done" => answer.done = Some(data),
-            "problem" => answer.problem = Some(data),
+            "done" => streamed.done = Some(data),
+            "problem" => streamed.problem = Some(data),
             _ => {}
         }
     }
-    Ok(answer)
+    Ok(streamed)
 }
 
-fn broken(error: impl std::fmt::Display) -> CallerError {
+fn caller_error(error: impl std::fmt::Display) -> CallerError {
     CallerError { detail: error.to_string() }
 }
--- a/crates/fakes/src/stack/mod.rs
+++ b/crates/fakes/src/stack/mod.rs
@@ -1,10 +1,11 @@
-//! Starts the real binaries with the stand-ins around them, as separate processes on loopback.
+//! Runs the real binaries together with the stand-ins, as separate processes on the loopback
+//! interface.
 
 pub mod caller;
 pub mod expected;
+pub mod fault_proxy;
 pub mod faults;
-pub mod link;
-pub mod operate;
+pub mod operator;
 pub mod plan;
 pub mod process;
 pub mod run;
--- a/crates/fakes/tests/at_most_once.rs
+++ b/crates/fakes/tests/at_most_once.rs
@@ -4,10 +4,10 @@
 
 use futures::future::join_all;
 use yuccatrail_fakes::{
-    platform::{Outage, Switches as PlatformSwitches},
+    platform::{Outage, PlatformSwitches},
     stack::{
-        caller::{Answer, CallerError},
-        faults::{Verdict, wait_until},
+        caller::{CallerError, ReceivedResponse},
+        faults::{ReportedOutcome, wait_until},
         plan::StackPlan,
         process::Signal,
         run::Stack,
@@ -33,7 +33,7 @@
 
 async fn start(call_ms: u64) -> Stack {
     let mut plan = StackPlan::short(&[("work-orders", 2)]);
-    plan.switch_pool("work-orders", |it| it.delay_ms = call_ms);
+    plan.change_pool_switches("work-orders", |it| it.delay_ms = call_ms);
     Stack::start(plan).await.expect("the stack starts")
 }
 
@@ -43,17 +43,17 @@
     entry: usize,
     key: &str,
     headers: &'static [(&str, &str)],
-) -> tokio::task::JoinHandle<Result<Answer, CallerError>> {
+) -> tokio::task::JoinHandle<Result<ReceivedResponse, CallerError>> {
     let (caller, address, key) = (stack.caller.clone(), stack.entry(entry), key.to_owned());
     tokio::spawn(async move { caller.notice(address, &key, headers).await })
 }
 
-async fn resend(stack: &Stack, entry: usize, key: &str) -> Verdict {
-    Verdict::of(&stack.caller.notice(stack.entry(entry), key, &[]).await)
+async fn resend(stack: &Stack, entry: usize, key: &str) -> ReportedOutcome {
+    ReportedOutcome::of(&stack.caller.notice(stack.entry(entry), key, &[]).await)
 }
 
 async fn runs(stack: &Stack, key: &str) -> u32 {
-    stack.calls().await.expect("the records of the upstreams").with_key(key)
+    stack.calls().await.expect("the records of the upstreams").count_for_key(key)
 }
 
 /// Makes the platform lose the answer to the next write and waits until that write took effect.
@@ -61,13 +61,13 @@
     stack: &Stack,
     key: &str,
     headers: &'static [(&str, &str)],
-) -> tokio::task::JoinHandle<Result<Answer, CallerError>> {
+) -> tokio::task::JoinHandle<Result<ReceivedResponse, CallerError>> {
     let slow = PlatformSwitches {
         lost_answers: 1,
         delay_ms: SLOW_PLATFORM_MS,
         ..PlatformSwitches::default()
     };
-    stack.set_platform(&slow).await.expect("switches");
+    stack.set_platform_switches(&slow).await.expect("switches");
     let before = stack.platform_counters().await.expect("counters").effects;
     let call = send(stack, 0, key, headers);
     let claimed = async || stack.platform_counters().await.is_ok_and(|it| it.effects > before);
@@ -76,7 +76,7 @@
 }
 
 async fn heal_platform(stack: &Stack) {
-    stack.set_platform(&PlatformSwitches::default()).await.expect("switches");
+    stack.set_platform_switches(&PlatformSwitches::default()).await.expect("switches");
 }
 
 #[tokio::test(flavor = "multi_thread")]
@@ -90,8 +90,12 @@
     }
     for copy in join_all(copies).await {
         let answer = copy.expect("the caller ends").expect("an answer");
-        let verdict = Verdict::of(&Ok(answer.clone()));
-        assert!(matches!(verdict, Verdict::Done | Verdict::Unknown), "{}", answer.body);
+        let verdict = ReportedOutcome::of(&Ok(answer.clone()));
+        assert!(
+            matches!(verdict, ReportedOutcome::Completed | ReportedOutcome::Unknown),
+            "{}",
+            answer.body
+        );
     }
     for key in 0..RACED_KEYS {
         let key = format!("raced-{key}");
@@ -113,12 +117,12 @@
     for round in 0..ROUNDS {
         let key = format!("claimed-{round}");
         let call = send_and_wait_for_claim(&stack, &key, &[]).await;
-        stack.end_entry(0).await.expect("the entry ends");
+        stack.kill_entry(0).await.expect("the entry ends");
         assert!(call.await.expect("the caller ends").is_err());
         heal_platform(&stack).await;
-        assert_eq!(resend(&stack, 1, &key).await, Verdict::Unknown);
+        assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
         stack.replace_entry(0, "north").await.expect("the entry starts");
-        assert_eq!(resend(&stack, 0, &key).await, Verdict::Unknown);
+        assert_eq!(resend(&stack, 0, &key).await, ReportedOutcome::Unknown);
         assert!(runs(&stack, &key).await <= 1, "{key}");
     }
 }
@@ -129,12 +133,12 @@
     for round in 0..ROUNDS {
         let key = format!("dispatched-{round}");
         let call = send(&stack, 0, &key, &[]);
-        stack.wait_running(&key).await.expect("a run");
-        stack.end_entry(0).await.expect("the entry ends");
+        stack.wait_for_run(&key).await.expect("a run");
+        stack.kill_entry(0).await.expect("the entry ends");
         assert!(call.await.expect("the caller ends").is_err());
-        assert_eq!(resend(&stack, 1, &key).await, Verdict::Unknown);
+        assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
         stack.replace_entry(0, "north").await.expect("the entry starts");
-        assert_eq!(resend(&stack, 0, &key).await, Verdict::Unknown);
+        assert_eq!(resend(&stack, 0, &key).await, ReportedOutcome::Unknown);
         assert_eq!(runs(&stack, &key).await, 1, "{key}");
     }
 }
@@ -164,11 +168,11 @@
     for round in 0..ROUNDS {
         let key = format!("reset-{round}");
         let reset = PlatformSwitches { outage: Some(Outage::Reset), ..PlatformSwitches::default() };
-        stack.set_platform(&reset).await.expect("switches");
+        stack.set_platform_switches(&reset).await.expect("switches");
         let calls = [0, 1].map(|entry| send(&stack, entry, &key, SHORT_DEADLINE));
         for answer in join_all(calls).await {
             let answer = answer.expect("the caller ends");
-            assert_ne!(Verdict::of(&answer), Verdict::Done, "{answer:?}");
+            assert_ne!(ReportedOutcome::of(&answer), ReportedOutcome::Completed, "{answer:?}");
         }
         assert_eq!(runs(&stack, &key).await, 0, "{key}");
         heal_platform(&stack).await;
@@ -187,13 +191,13 @@
         stack.entries[0].signal(Signal::Pause).await.expect("the entry is paused");
         heal_platform(&stack).await;
         let frozen = runs(&stack, &key).await;
-        assert_eq!(resend(&stack, 1, &key).await, Verdict::Unknown);
+        assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
         tokio::time::sleep(Duration::from_millis(SHORT_DEADLINE_MS)).await;
         stack.entries[0].signal(Signal::Resume).await.expect("the entry resumes");
         let answer = call.await.expect("the caller ends");
-        let verdict = Verdict::of(&answer);
+        let verdict = ReportedOutcome::of(&answer);
         // A call that was dispatched before the pause may have its answer.
-        assert!(frozen == 1 || verdict != Verdict::Done, "{answer:?}");
+        assert!(frozen == 1 || verdict != ReportedOutcome::Completed, "{answer:?}");
         assert_eq!(runs(&stack, &key).await, frozen, "{key}");
         // The claimant releases a claim that it never dispatched, so a resend may run now.
         resend(&stack, 0, &key).await;
@@ -211,7 +215,7 @@
             pair.agent.signal(Signal::Pause).await.expect("the agent is paused");
         }
         let answer = send(&stack, 0, &key, SHORT_DEADLINE).await.expect("the caller ends");
-        assert_eq!(Verdict::of(&answer), Verdict::Unknown, "{answer:?}");
+        assert_eq!(ReportedOutcome::of(&answer), ReportedOutcome::Unknown, "{answer:?}");
         for pair in &stack.upstreams {
             pair.agent.signal(Signal::Resume).await.expect("the agent resumes");
         }
@@ -237,12 +241,12 @@
         let mut stack = start(LONG_CALL_MS).await;
         let key = format!("agent-killed-{round}");
         let call = send(&stack, round % 2, &key, &[]);
-        let number = stack.wait_running(&key).await.expect("a run");
+        let number = stack.wait_for_run(&key).await.expect("a run");
         stack.replace_agent(number).await.expect("the agent starts");
         let answer = call.await.expect("the caller ends");
-        assert_eq!(Verdict::of(&answer), Verdict::Unknown, "{answer:?}");
-        assert_eq!(resend(&stack, 1, &key).await, Verdict::Unknown);
-        assert_eq!(resend(&stack, 0, &key).await, Verdict::Unknown);
+        assert_eq!(ReportedOutcome::of(&answer), ReportedOutcome::Unknown, "{answer:?}");
+        assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
+        assert_eq!(resend(&stack, 0, &key).await, ReportedOutcome::Unknown);
         assert_eq!(runs(&stack, &key).await, 1, "{key}");
     }
 }
@@ -254,12 +258,12 @@
         let mut stack = start(LONG_CALL_MS).await;
         let key = format!("upstream-killed-{round}");
         let call = send(&stack, round % 2, &key, &[]);
-        let number = stack.wait_running(&key).await.expect("a run");
+        let number = stack.wait_for_run(&key).await.expect("a run");
         stack.replace_upstream(number).await.expect("the upstream starts");
         let answer = call.await.expect("the caller ends");
-        assert_eq!(Verdict::of(&answer), Verdict::Unknown, "{answer:?}");
-        assert_eq!(resend(&stack, 1, &key).await, Verdict::Unknown);
-        assert_eq!(resend(&stack, 0, &key).await, Verdict::Unknown);
+        assert_eq!(ReportedOutcome::of(&answer), ReportedOutcome::Unknown, "{answer:?}");
+        assert_eq!(resend(&stack, 1, &key).await, ReportedOutcome::Unknown);
+        assert_eq!(resend(&stack, 0, &key).await, ReportedOutcome::Unknown);
         assert_eq!(runs(&stack, &key).await, 1, "{key}");
     }
 }
--- a/crates/fakes/tests/callers.rs
+++ b/crates/fakes/tests/callers.rs
@@ -12,12 +12,12 @@
 };
 use yuccatrail_fakes::{
     stack::{
-        caller::{Answer, Caller},
+        caller::{Caller, ReceivedResponse},
         plan::StackPlan,
         run::Stack,
-        traffic::{Traffic, Verdict, is_whole_draft, read_order},
+        traffic::{ResponseCheck, SteadyTraffic, is_complete_draft, read_order},
     },
-    upstream::state::Switches,
+    upstream::state::UpstreamSwitches,
 };
 
 /// Time between two requests of the well-behaved caller.
@@ -82,7 +82,7 @@
 }
 
 /// Checks a problem document (RFC 9457).
-fn check_problem(answer: &Answer, status: u16, reason: &str) {
+fn check_problem(answer: &ReceivedResponse, status: u16, reason: &str) {
     assert_eq!(answer.status, status, "{}", answer.body);
     assert_eq!(answer.headers["content-type"], "application/problem+json");
     assert_eq!(answer.body["status"], status);
@@ -102,7 +102,7 @@
 async fn faulty_requests_are_refused_and_cost_nobody_else_anything() {
     let stack = start().await;
     let entry = stack.entry(0);
-    let traffic = Traffic::start(Caller::new("hill-country"), vec![entry], INTERVAL);
+    let traffic = SteadyTraffic::start(Caller::new("hill-country"), vec![entry], INTERVAL);
     for fault in faults() {
         let caller = Caller::new(fault.customer);
         let body = fault.body.clone();
@@ -141,8 +141,8 @@
     let stack = start().await;
     let (entry, caller) = (stack.entry(0), Caller::new("lone-star"));
     // A draft that is not cancelled runs longer than the test waits.
-    let slow = Switches { token_delay_ms: 1_200, ..Switches::default() };
-    stack.switch(&stack.upstreams[0], &slow).await.expect("slow");
+    let slow = UpstreamSwitches { token_delay_ms: 1_200, ..UpstreamSwitches::default() };
+    stack.set_upstream_switches(&stack.upstreams[0], &slow).await.expect("slow");
     for accept in ["text/event-stream", "application/json"] {
         let mut stream = TcpStream::connect(entry).await.expect("a connection");
         let head = format!(
@@ -155,9 +155,12 @@
         drop(stream);
         stack.wait_calls_running(0, 0).await.expect("the request is cancelled");
     }
-    stack.switch(&stack.upstreams[0], &Switches::default()).await.expect("fast");
+    stack
+        .set_upstream_switches(&stack.upstreams[0], &UpstreamSwitches::default())
+        .await
+        .expect("fast");
     let draft = caller.pipeline_stream(entry, "draft", "another").await;
-    assert!(is_whole_draft(&draft.expect("a stream"), "another"));
+    assert!(is_complete_draft(&draft.expect("a stream"), "another"));
     stack.close().await.expect("a clean stop");
 }
 
@@ -165,7 +168,7 @@
 async fn both_versions_of_http_are_served() {
     let stack = start().await;
     let entry = stack.entry(0);
-    assert_eq!(read_order(&stack.caller, entry, 1).await, Verdict::Whole);
+    assert_eq!(read_order(&stack.caller, entry, 1).await, ResponseCheck::Complete);
     let stream = TcpStream::connect(entry).await.expect("a connection");
     let handshake =
         hyper::client::conn::http2::handshake(TokioExecutor::new(), TokioIo::new(stream));
