--- a/crates/fakes/src/bench/direct.rs
+++ b/crates/fakes/src/bench/direct.rs
@@ -11,7 +11,7 @@
 
 use crate::{
     stack::{
-        caller::{Answer, Caller, CallerError},
+        caller::{Caller, CallerError, ReceivedResponse},
         expected,
     },
     upstream::engine,
@@ -61,7 +61,7 @@
 /// Returns `reason/outcome` of a problem document, the detail of a broken HTTP exchange, or
 /// `wrong answer` for any other response.
 pub fn check_response(
-    response: Result<Answer, CallerError>,
+    response: Result<ReceivedResponse, CallerError>,
     is_expected: impl FnOnce(&Value) -> bool,
 ) -> Result<(), String> {
     let response = response.map_err(|it| it.detail)?;
@@ -126,7 +126,8 @@
     address: SocketAddr,
     body: Value,
 ) -> Result<String, CallerError> {
-    let response = caller.open(address, "POST", "/v1/completions", &[], body.to_string()).await?;
+    let response =
+        caller.send_for_head(address, "POST", "/v1/completions", &[], body.to_string()).await?;
     let chunks = BodyStream::new(response.into_body())
         .filter_map(|frame| async move { frame.map(|it| it.into_data().ok()).transpose() });
     let mut events = std::pin::pin!(chunks.eventsource());
--- a/crates/fakes/src/capacity/rig.rs
+++ b/crates/fakes/src/capacity/rig.rs
@@ -15,8 +15,8 @@
         plan::{DEMO_POOLS, UpstreamPlan},
         process::{Process, ProcessError},
         run::{
-            ENVIRONMENT, StackError, UpstreamPair, entry_instance, promote, start_agent,
-            start_entry, start_upstream,
+            ENVIRONMENT, StackError, UpstreamPair, entry_instance, start_agent, start_entry,
+            start_upstream, write_initial_config,
         },
     },
 };
@@ -89,7 +89,7 @@
         });
         let platform_proxy =
             CountingProxy::open(platform.address).await.map_err(ProcessError::from)?;
-        promote(&client, 1, document).await?;
+        write_initial_config(&client, 1, document).await?;
         let upstream = start_upstream(&UpstreamPlan::new("shared", 0), "127.0.0.1:0").await?;
         let mut rig = Self {
             platform,
@@ -167,7 +167,7 @@
         let proxy = CountingProxy::open(process.address).await.map_err(ProcessError::from)?;
         let record = InstanceRecord {
             address: proxy.address,
-            ..UpstreamPair::record(&plan, process.address)
+            ..UpstreamPair::instance_record(&plan, process.address)
         };
         self.client.create(Kind::Instances, &record.name, &record).await?;
         self.agents.push(ProxiedProcess { process, proxy });
--- a/crates/fakes/src/platform/admin.rs
+++ b/crates/fakes/src/platform/admin.rs
@@ -1,19 +1,19 @@
-//! Admin path that sets switches and reads counters.
+//! Admin API: sets switches, reads counters and compacts the history.
 
 use http_body_util::BodyExt;
 use hyper::{Method, Request, Response, StatusCode, body::Incoming};
 use serde_json::json;
 
 use super::{
-    Switches,
+    PlatformSwitches,
     server::Shared,
     status::{Body, failure, json_response},
 };
 
-/// Prefix of the admin paths.
+/// Prefix of the paths of the admin API; faults do not affect these.
 pub(crate) const PREFIX: &str = "/fake/";
 
-/// Handles an admin call.
+/// Handles a request to the admin API.
 pub(crate) async fn handle(shared: &Shared, request: Request<Incoming>) -> Response<Body> {
     let method = request.method().clone();
     let path = request.uri().path().to_owned();
@@ -40,7 +40,7 @@
             return failure(StatusCode::BAD_REQUEST, "BadRequest", &error.to_string());
         }
     };
-    match serde_json::from_slice::<Switches>(&body) {
+    match serde_json::from_slice::<PlatformSwitches>(&body) {
         Ok(switches) => {
             shared.switches.send_replace(switches.clone());
             json_response(StatusCode::OK, &json!(switches))
--- a/crates/fakes/src/platform/store.rs
+++ b/crates/fakes/src/platform/store.rs
@@ -1,4 +1,4 @@
-//! Objects in memory with versions, conditional writes and a bounded history.
+//! In-memory object store with versions, conditional writes and a bounded history of changes.
 
 use std::{
     collections::{BTreeMap, VecDeque},
@@ -7,24 +7,25 @@
 
 use serde_json::Value;
 
-/// Number of changes that watches can be resumed over.
+/// Number of retained changes; a watch can be resumed only if all later changes are retained.
 const HISTORY_CHANGES: usize = 10_000;
 
-/// Time for which old states of lagging collections are kept.
+/// Time for which former states of lagging collections are kept; bounds the lag that can be served.
 const SNAPSHOT_RETENTION: Duration = Duration::from_secs(600);
 
-/// A collection of objects.
+/// Identifies a collection of objects: all of one kind in a namespace.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(crate) struct Collection {
-    /// Namespace of the objects.
+    /// Namespace of the objects; the name of the environment.
     pub(crate) namespace: String,
-    /// Plural name of the kind.
+    /// Plural name of the kind, as in paths.
     pub(crate) plural: String,
 }
 
 impl Collection {
-    /// Tells whether the collection shows the platform's lagging view of the fleet.
-    pub(crate) fn lags(&self) -> bool {
+    /// Returns whether reads and watches of the collection lag behind, as the platform's instance
+    /// list does.
+    pub(crate) fn is_lagging(&self) -> bool {
         self.plural == "instances"
     }
 }
@@ -41,16 +42,16 @@
 #[derive(Clone, Debug)]
 pub(crate) struct Change {
     pub(crate) version: u64,
-    pub(crate) at: Instant,
+    pub(crate) changed_at: Instant,
     pub(crate) collection: Collection,
     pub(crate) kind: ChangeKind,
-    /// The whole object; a deleted one in its last state, with the version of the deletion.
+    /// Object after the change; a deleted one in its last state, with the version of the deletion.
     pub(crate) object: Value,
 }
 
-/// Why a write was refused.
+/// Error of a read or write.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Refusal {
+pub(crate) enum StoreError {
     AlreadyExists,
     Conflict,
     NotFound,
@@ -61,17 +62,17 @@
 /// State of a lagging collection after one change.
 #[derive(Debug)]
 struct Snapshot {
-    at: Instant,
+    changed_at: Instant,
     version: u64,
     objects: Objects,
 }
 
-/// The store.
+/// The object store; every change increments its version.
 #[derive(Debug, Default)]
 pub(crate) struct Store {
     version: u64,
-    /// Version of the newest change that is no longer in `history`.
-    compacted: u64,
+    /// Version of the newest change that was dropped from `history`.
+    compacted_version: u64,
     collections: BTreeMap<Collection, Objects>,
     history: VecDeque<Change>,
     snapshots: BTreeMap<Collection, VecDeque<Snapshot>>,
@@ -83,36 +84,37 @@
         self.version
     }
 
-    /// Returns one object.
+    /// Returns an object; of a lagging collection in its state at `as_of`.
     pub(crate) fn get(&self, collection: &Collection, name: &str, as_of: Instant) -> Option<Value> {
         let (_, objects) = self.view(collection, as_of)?;
         objects.get(name).cloned()
     }
 
-    /// Returns the objects of a collection with the version of the view.
+    /// Returns the objects of a collection and the version that they reflect; a lagging collection
+    /// as it was at `as_of`.
     pub(crate) fn list(&self, collection: &Collection, as_of: Instant) -> (u64, Vec<Value>) {
         match self.view(collection, as_of) {
             Some((version, objects)) => (version, objects.values().cloned().collect()),
-            None if collection.lags() => (self.compacted, Vec::new()),
+            None if collection.is_lagging() => (self.compacted_version, Vec::new()),
             None => (self.version, Vec::new()),
         }
     }
 
-    /// Creates an object.
+    /// Creates an object and returns it with its version.
     pub(crate) fn create(
         &mut self,
         collection: &Collection,
         name: &str,
         object: Value,
         now: Instant,
-    ) -> Result<Value, Refusal> {
+    ) -> Result<Value, StoreError> {
         if self.current(collection, name).is_some() {
-            return Err(Refusal::AlreadyExists);
+            return Err(StoreError::AlreadyExists);
         }
         Ok(self.put(collection, name, object, ChangeKind::Added, now))
     }
 
-    /// Replaces an object that has the version `from`; without `from`, any version.
+    /// Replaces an object if its version is `from`, or unconditionally without `from`.
     pub(crate) fn update(
         &mut self,
         collection: &Collection,
@@ -120,23 +122,23 @@
         from: Option<&str>,
         object: Value,
         now: Instant,
-    ) -> Result<Value, Refusal> {
+    ) -> Result<Value, StoreError> {
         self.check_version(collection, name, from)?;
         Ok(self.put(collection, name, object, ChangeKind::Modified, now))
     }
 
-    /// Deletes an object that has the version `from`; without `from`, any version.
+    /// Deletes an object if its version is `from`, or unconditionally without `from`.
     pub(crate) fn delete(
         &mut self,
         collection: &Collection,
         name: &str,
         from: Option<&str>,
         now: Instant,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), StoreError> {
         self.check_version(collection, name, from)?;
         let objects = self.collections.entry(collection.clone()).or_default();
         let Some(mut object) = objects.remove(name) else {
-            return Err(Refusal::NotFound);
+            return Err(StoreError::NotFound);
         };
         self.version += 1;
         set_version(&mut object, self.version);
@@ -144,9 +146,9 @@
         Ok(())
     }
 
-    /// Tells whether every change after `version` is still held.
-    pub(crate) fn holds_changes_since(&self, version: u64) -> bool {
-        version >= self.compacted
+    /// Returns whether every change after `version` is retained.
+    pub(crate) fn retains_changes_since(&self, version: u64) -> bool {
+        version >= self.compacted_version
     }
 
     /// Returns the first change of a collection after `version`.
@@ -155,23 +157,23 @@
         self.history.range(start..).find(|it| it.collection == *collection)
     }
 
-    /// Forgets the history, so that no watch can be resumed from an older version.
+    /// Discards the history, so that no watch can be resumed from an older version.
     pub(crate) fn compact(&mut self) {
         self.history.clear();
-        self.compacted = self.version;
+        self.compacted_version = self.version;
     }
 
     fn current(&self, collection: &Collection, name: &str) -> Option<&Value> {
         self.collections.get(collection)?.get(name)
     }
 
-    /// Returns a collection, for a lagging one as it stood at `as_of`.
+    /// Returns the version and the objects of a collection; a lagging one as it was at `as_of`.
     fn view(&self, collection: &Collection, as_of: Instant) -> Option<(u64, &Objects)> {
-        if !collection.lags() {
+        if !collection.is_lagging() {
             return Some((self.version, self.collections.get(collection)?));
         }
         let snapshots = self.snapshots.get(collection)?;
-        let snapshot = snapshots.iter().rev().find(|it| it.at <= as_of)?;
+        let snapshot = snapshots.iter().rev().find(|it| it.changed_at <= as_of)?;
         Some((snapshot.version, &snapshot.objects))
     }
 
@@ -180,12 +182,14 @@
         collection: &Collection,
         name: &str,
         from: Option<&str>,
-    ) -> Result<(), Refusal> {
+    ) -> Result<(), StoreError> {
         let Some(object) = self.current(collection, name) else {
-            return Err(Refusal::NotFound);
+            return Err(StoreError::NotFound);
         };
         match from {
-            Some(from) if object["metadata"]["resourceVersion"] != *from => Err(Refusal::Conflict),
+            Some(from) if object["metadata"]["resourceVersion"] != *from => {
+                Err(StoreError::Conflict)
+            }
             _ => Ok(()),
         }
     }
@@ -209,20 +213,23 @@
     fn record(&mut self, collection: &Collection, kind: ChangeKind, object: Value, now: Instant) {
         let collection = collection.clone();
         let version = self.version;
-        if collection.lags() {
-            self.keep_snapshot(&collection, now);
+        if collection.is_lagging() {
+            self.add_snapshot(&collection, now);
         }
-        self.history.push_back(Change { version, at: now, collection, kind, object });
+        self.history.push_back(Change { version, changed_at: now, collection, kind, object });
         while self.history.len() > HISTORY_CHANGES {
-            self.compacted = self.history.pop_front().map_or(self.compacted, |it| it.version);
+            self.compacted_version =
+                self.history.pop_front().map_or(self.compacted_version, |it| it.version);
         }
     }
 
-    fn keep_snapshot(&mut self, collection: &Collection, now: Instant) {
+    fn add_snapshot(&mut self, collection: &Collection, now: Instant) {
         let objects = self.collections.get(collection).cloned().unwrap_or_default();
         let snapshots = self.snapshots.entry(collection.clone()).or_default();
-        snapshots.push_back(Snapshot { at: now, version: self.version, objects });
-        while snapshots.len() > 1 && now.duration_since(snapshots[1].at) > SNAPSHOT_RETENTION {
+        snapshots.push_back(Snapshot { changed_at: now, version: self.version, objects });
+        while snapshots.len() > 1
+            && now.duration_since(snapshots[1].changed_at) > SNAPSHOT_RETENTION
+        {
             snapshots.pop_front();
         }
     }
--- a/crates/fakes/src/scenarios/scenario.rs
+++ b/crates/fakes/src/scenarios/scenario.rs
@@ -39,7 +39,7 @@
     /// Operators bring a data centre back.
     DataCentreIn(&'static str),
     /// The platform's faults change.
-    Platform(platform::Switches),
+    Platform(platform::PlatformSwitches),
     /// Upstreams of a pool change their behaviour.
     Switch {
         /// The pool.
@@ -47,17 +47,17 @@
         /// Number of upstreams that change.
         count: usize,
         /// Their new behaviour.
-        switches: upstream::state::Switches,
+        switches: upstream::state::UpstreamSwitches,
     },
     /// All upstreams of a pool turn cold.
-    TurnCold(&'static str),
+    MakeCold(&'static str),
     /// Agents end without warning.
     KillAgents {
         /// Number of agents, spread over the pools.
         count: usize,
     },
     /// Ended agents start again on their addresses.
-    ReplaceAgents,
+    RestartAgents,
     /// A caller sends one request, and sends it again after each failure.
     Resend {
         /// Input of the pipeline request.
--- a/crates/fakes/tests/not_run.rs
+++ b/crates/fakes/tests/not_run.rs
@@ -13,14 +13,14 @@
 use serde_json::Value;
 use yuccatrail_fakes::{
     stack::{
-        caller::{Answer, Caller, CallerError},
+        caller::{Caller, CallerError, ReceivedResponse},
         expected,
-        faults::Verdict,
+        faults::ReportedOutcome,
         plan::StackPlan,
         process::Signal,
         run::Stack,
     },
-    upstream::state::Switches,
+    upstream::state::UpstreamSwitches,
 };
 
 /// Seed of the calls and of the faults.
@@ -46,7 +46,7 @@
 struct Told {
     request: String,
     key: Option<String>,
-    verdict: Verdict,
+    verdict: ReportedOutcome,
     reason: String,
 }
 
@@ -62,7 +62,7 @@
         for _ in 0..=RESENDS {
             let entry = entries[random.random_range(0..2)];
             let last = send(&caller, entry, kind, &text, deadline_ms).await;
-            let ends = last.verdict != Verdict::Unknown;
+            let ends = last.verdict != ReportedOutcome::Unknown;
             told.push(last);
             if ends {
                 break;
@@ -108,12 +108,12 @@
         return Told {
             request: String::new(),
             key: None,
-            verdict: Verdict::Unknown,
+            verdict: ReportedOutcome::Unknown,
             reason: String::new(),
         };
     };
     if let Some(problem) = answer.problem {
-        let verdict = Verdict::of_problem(&problem);
+        let verdict = ReportedOutcome::of_problem(&problem);
         return Told {
             request: field(&problem, "request_id"),
             key: None,
@@ -126,22 +126,22 @@
     Told {
         request: field(&done, "request_id"),
         key: None,
-        verdict: Verdict::Done,
+        verdict: ReportedOutcome::Completed,
         reason: String::new(),
     }
 }
 
-fn check_done(answer: &Result<Answer, CallerError>, is_right: impl Fn(&Value) -> bool) {
+fn check_done(answer: &Result<ReceivedResponse, CallerError>, is_right: impl Fn(&Value) -> bool) {
     let Ok(answer) = answer else { return };
     assert!(answer.status >= 400 || is_right(&answer.body), "{}", answer.body);
 }
 
-fn told(key: Option<&str>, answer: &Result<Answer, CallerError>) -> Told {
+fn told(key: Option<&str>, answer: &Result<ReceivedResponse, CallerError>) -> Told {
     let body = answer.as_ref().map(|it| it.body.clone()).unwrap_or_default();
     Told {
         request: field(&body, "request_id"),
         key: key.map(str::to_owned),
-        verdict: Verdict::of(answer),
+        verdict: ReportedOutcome::of(answer),
         reason: field(&body, "reason"),
     }
 }
@@ -175,18 +175,21 @@
                 agent.signal(Signal::Resume).await.expect("the agent resumes");
                 continue;
             }
-            3 => Switches { fail_status: Some(503), ..normal.clone() },
-            4 => Switches { cut_after_tokens: Some(random.random_range(0..10)), ..normal.clone() },
-            5 => Switches { delay_ms: random.random_range(0..500), ..normal.clone() },
+            3 => UpstreamSwitches { fail_status: Some(503), ..normal.clone() },
+            4 => UpstreamSwitches {
+                cut_after_tokens: Some(random.random_range(0..10)),
+                ..normal.clone()
+            },
+            5 => UpstreamSwitches { delay_ms: random.random_range(0..500), ..normal.clone() },
             _ => {
                 stack.turn_cold(number).await.expect("the upstream turns cold");
                 normal.clone()
             }
         };
         let calm = Duration::from_millis(random.random_range(0..MAX_CALM_MS));
-        stack.switch(&stack.upstreams[number], &switched).await.expect("switches");
+        stack.set_upstream_switches(&stack.upstreams[number], &switched).await.expect("switches");
         tokio::time::sleep(calm).await;
-        stack.switch(&stack.upstreams[number], &normal).await.expect("switches");
+        stack.set_upstream_switches(&stack.upstreams[number], &normal).await.expect("switches");
     }
     faults
 }
@@ -195,7 +198,7 @@
 async fn no_refused_request_was_run() {
     let mut plan = StackPlan::short(&[("encoders", 1), ("engines", 2), ("work-orders", 1)]);
     for pool in ["encoders", "engines", "work-orders"] {
-        plan.switch_pool(pool, |it| {
+        plan.change_pool_switches(pool, |it| {
             it.delay_ms = CALL_MS;
             it.cold_calls = 4;
             it.cold_bearable = 2;
@@ -218,10 +221,10 @@
     let mut counts = [0_u32; 4];
     for told in told.into_iter().flat_map(|it| it.expect("the caller ends")) {
         counts[told.verdict.clone() as usize] += 1;
-        let runs = calls.for_request(&told.request);
-        let key_runs = told.key.as_ref().map_or(0, |it| calls.with_key(it));
+        let runs = calls.count_for_request(&told.request);
+        let key_runs = told.key.as_ref().map_or(0, |it| calls.count_for_key(it));
         assert!(key_runs <= 1, "{:?} ran {key_runs} times", told.key);
-        if told.verdict != Verdict::NotRun {
+        if told.verdict != ReportedOutcome::NotRun {
             continue;
         }
         assert!(!told.request.is_empty(), "a refusal names its request");
--- a/crates/fakes/tests/scenario_checks.rs
+++ b/crates/fakes/tests/scenario_checks.rs
@@ -2,16 +2,16 @@
 
 use yuccatrail_fakes::{
     load::{
-        call::{Observation, Verdict},
+        call::{CallOutcome, Observation},
         plan::{CallKind, PlannedCall},
         tally::{Deadlines, Tally},
     },
-    scenarios::{check::violations, drive::Driven, observe::Totals},
+    scenarios::{check::violations, drive::DriverReport, observe::Totals},
 };
 
 const DEADLINES: Deadlines = Deadlines { pipeline_ms: 2_000, service_ms: 1_000 };
 
-fn observation(verdict: Verdict, latency_us: u64) -> Observation {
+fn observation(verdict: CallOutcome, latency_us: u64) -> Observation {
     let call = PlannedCall {
         number: 0,
         at_us: 0,
@@ -28,11 +28,11 @@
     }
 }
 
-fn refused(outcome: &str) -> Verdict {
-    Verdict::Refused { reason: "busy".to_owned(), outcome: outcome.to_owned() }
+fn refused(outcome: &str) -> CallOutcome {
+    CallOutcome::Refused { reason: "busy".to_owned(), outcome: outcome.to_owned() }
 }
 
-fn tally_of(verdict: Verdict) -> Tally {
+fn tally_of(verdict: CallOutcome) -> Tally {
     let mut tally = Tally::new(DEADLINES);
     tally.add(observation(verdict, 10));
     tally
@@ -44,14 +44,14 @@
     totals.runs_by_key.insert("key-1".to_owned(), 1);
     totals.runs_by_request.insert("request-2".to_owned(), 2);
     let tally = tally_of(refused("not_run"));
-    assert!(violations(&tally, &totals, &Driven::default()).is_empty());
+    assert!(violations(&tally, &totals, &DriverReport::default()).is_empty());
 }
 
 #[test]
 fn doubled_run_is_found() {
     let mut totals = Totals::default();
     totals.runs_by_key.insert("key-1".to_owned(), 2);
-    let found = violations(&tally_of(Verdict::Right), &totals, &Driven::default());
+    let found = violations(&tally_of(CallOutcome::Correct), &totals, &DriverReport::default());
     assert!(found.iter().any(|it| it.contains("key-1")));
 }
 
@@ -59,15 +59,17 @@
 fn untrue_not_run_is_found() {
     let mut totals = Totals::default();
     totals.runs_by_request.insert("request-1".to_owned(), 1);
-    let found = violations(&tally_of(refused("not_run")), &totals, &Driven::default());
+    let found = violations(&tally_of(refused("not_run")), &totals, &DriverReport::default());
     assert!(found.iter().any(|it| it.contains("request-1")));
-    assert!(violations(&tally_of(refused("unknown")), &totals, &Driven::default()).is_empty());
+    assert!(
+        violations(&tally_of(refused("unknown")), &totals, &DriverReport::default()).is_empty()
+    );
 }
 
 #[test]
 fn wrong_and_broken_answers_are_found() {
-    for verdict in [Verdict::Wrong("text".to_owned()), Verdict::Broken("cut".to_owned())] {
-        let found = violations(&tally_of(verdict), &Totals::default(), &Driven::default());
+    for verdict in [CallOutcome::Wrong("text".to_owned()), CallOutcome::Broken("cut".to_owned())] {
+        let found = violations(&tally_of(verdict), &Totals::default(), &DriverReport::default());
         assert!(!found.is_empty());
     }
 }
@@ -75,16 +77,19 @@
 #[test]
 fn overloads_and_calls_in_a_data_centre_that_is_out_are_found() {
     let totals = Totals { overloads: 1, ..Totals::default() };
-    assert_eq!(violations(&tally_of(Verdict::Right), &totals, &Driven::default()).len(), 1);
-    let driven = Driven { calls_while_out: 1, ..Driven::default() };
-    assert_eq!(violations(&tally_of(Verdict::Right), &Totals::default(), &driven).len(), 1);
+    assert_eq!(
+        violations(&tally_of(CallOutcome::Correct), &totals, &DriverReport::default()).len(),
+        1
+    );
+    let driven = DriverReport { calls_while_out: 1, ..DriverReport::default() };
+    assert_eq!(violations(&tally_of(CallOutcome::Correct), &Totals::default(), &driven).len(), 1);
 }
 
 #[test]
 fn right_answer_after_the_deadline_is_late() {
     let mut tally = Tally::new(DEADLINES);
-    tally.add(observation(Verdict::Right, 999_999));
-    tally.add(observation(Verdict::Right, 1_000_001));
+    tally.add(observation(CallOutcome::Correct, 999_999));
+    tally.add(observation(CallOutcome::Correct, 1_000_001));
     assert_eq!((tally.on_time, tally.late), (1, 1));
     assert!((tally.attainment() - 0.5).abs() < 1e-9);
 }
