--- a/crates/fakes/src/capacity/changes.rs
+++ b/crates/fakes/src/capacity/changes.rs
@@ -1,4 +1,4 @@
-//! What a change of the configuration costs.
+//! Cost of a configuration change in traffic and processor time.
 
 use std::{fmt::Write, time::Duration};
 
@@ -9,26 +9,26 @@
 use yuccatrail_platform::Kind;
 
 use super::{
-    rig::{Reading, Rig},
     slope::Slope,
+    test_cluster::{ClusterUsage, TestCluster},
 };
 use crate::stack::{plan::DEMO_DOCUMENT, run::StackError};
 
-/// Agents of the rig.
-const AGENTS: usize = 10;
-/// Sizes of documents in kilobytes.
-const SIZES_KB: [usize; 3] = [10, 100, 700];
-/// Entries that pass a change on.
-const ENTRIES: [usize; 3] = [1, 2, 4];
-/// Size of the document that several entries pass on, in kilobytes.
-const SHARED_KB: usize = 100;
-/// Time in which a change reaches every process.
-const SPREAD: Duration = Duration::from_secs(4);
-/// Bytes in a kilobyte.
-const KB_BYTES: f64 = 1_000.0;
+/// Number of agents in the test cluster.
+const AGENT_COUNT: usize = 10;
+/// Sizes of the configuration document, in kilobytes.
+const DOCUMENT_SIZES_KB: [usize; 3] = [10, 100, 700];
+/// Numbers of entries that propagate a change to the agents.
+const ENTRY_COUNTS: [usize; 3] = [1, 2, 4];
+/// Size of the document that several entries propagate, in kilobytes.
+const SHARED_DOCUMENT_KB: usize = 100;
+/// Time after which a change has reached every process; idle usage is measured over the same time.
+const PROPAGATION_TIME: Duration = Duration::from_secs(4);
+/// Number of bytes in a kilobyte.
+const BYTES_PER_KB: f64 = 1_000.0;
 
-/// Writes a valid document of at least `size_bytes` bytes.
-pub fn document_of(size_bytes: usize) -> String {
+/// Returns a valid configuration document of at least `size_bytes` bytes.
+pub fn document_of_size(size_bytes: usize) -> String {
     let mut text = DEMO_DOCUMENT.to_owned();
     let mut number = 0;
     while text.len() < size_bytes {
@@ -45,26 +45,29 @@
     text
 }
 
-/// Cost of one change against the size of the document, with one entry.
+/// Measures the cost of one change by document size, with one entry.
 ///
 /// # Errors
 ///
 /// Returns an error when a process fails.
 pub async fn by_size() -> Result<[Slope; 3], StackError> {
-    let rig = Rig::start(DEMO_DOCUMENT, AGENTS, 1).await?;
-    let idle = rig.watch(SPREAD).await?;
+    let cluster = TestCluster::start(DEMO_DOCUMENT, AGENT_COUNT, 1).await?;
+    let idle = cluster.measure_for(PROPAGATION_TIME).await?;
     let mut bytes = Vec::new();
     let mut entry_cpu = Vec::new();
     let mut agent_cpu = Vec::new();
-    let agents = AGENTS as f64;
-    for size_kb in SIZES_KB {
-        let seen = change(&rig, size_kb).await?;
+    let agents = AGENT_COUNT as f64;
+    for size_kb in DOCUMENT_SIZES_KB {
+        let usage = apply_change(&cluster, size_kb).await?;
         let size = size_kb as f64;
-        bytes.push((size, net(seen.links.wire_bytes(), idle.links.wire_bytes()) / agents));
-        entry_cpu.push((size, net(seen.entries.cpu_us, idle.entries.cpu_us)));
-        agent_cpu.push((size, net(seen.agents.cpu_us, idle.agents.cpu_us) / agents));
+        bytes.push((
+            size,
+            above_idle(usage.agent_traffic.wire_bytes(), idle.agent_traffic.wire_bytes()) / agents,
+        ));
+        entry_cpu.push((size, above_idle(usage.entries.cpu_us, idle.entries.cpu_us)));
+        agent_cpu.push((size, above_idle(usage.agents.cpu_us, idle.agents.cpu_us) / agents));
     }
-    rig.close().await?;
+    cluster.close().await?;
     Ok([
         Slope::new("change to one agent, on the wire", "bytes", "kB of document", &bytes),
         Slope::new("change at the entry, 10 agents", "us", "kB of document", &entry_cpu),
@@ -72,42 +75,45 @@
     ])
 }
 
-/// Copies of a change that an agent receives against the number of entries connected to it.
+/// Measures how many copies of a change an agent receives, by the number of connected entries.
 ///
 /// # Errors
 ///
 /// Returns an error when a process fails.
 pub async fn by_entries() -> Result<Slope, StackError> {
     let mut copies = Vec::new();
-    for entries in ENTRIES {
-        let rig = Rig::start(DEMO_DOCUMENT, AGENTS, entries).await?;
-        let idle = rig.watch(SPREAD).await?;
-        let seen = change(&rig, SHARED_KB).await?;
-        rig.close().await?;
-        let bytes = net(seen.links.payload_bytes(), idle.links.payload_bytes());
-        let copy_bytes = SHARED_KB as f64 * KB_BYTES;
-        copies.push((entries as f64, bytes / AGENTS as f64 / copy_bytes));
+    for entries in ENTRY_COUNTS {
+        let cluster = TestCluster::start(DEMO_DOCUMENT, AGENT_COUNT, entries).await?;
+        let idle = cluster.measure_for(PROPAGATION_TIME).await?;
+        let usage = apply_change(&cluster, SHARED_DOCUMENT_KB).await?;
+        cluster.close().await?;
+        let bytes =
+            above_idle(usage.agent_traffic.payload_bytes(), idle.agent_traffic.payload_bytes());
+        let copy_bytes = SHARED_DOCUMENT_KB as f64 * BYTES_PER_KB;
+        copies.push((entries as f64, bytes / AGENT_COUNT as f64 / copy_bytes));
     }
     Ok(Slope::new("copies of a 100 kB change at an agent", "copies", "connected entry", &copies))
 }
 
-/// Promotes a document of a size and returns what that took.
-async fn change(rig: &Rig, size_kb: usize) -> Result<Reading, StackError> {
-    let before = rig.read().await?;
-    let current = rig.client.get::<StoredConfig>(Kind::Environments, "current").await?;
+/// Writes a new version of the configuration with a document of at least `size_kb`.
+///
+/// Returns the usage until the change has reached every process.
+async fn apply_change(cluster: &TestCluster, size_kb: usize) -> Result<ClusterUsage, StackError> {
+    let before = cluster.read_usage().await?;
+    let current = cluster.client.get::<StoredConfig>(Kind::Environments, "current").await?;
     let Some(current) = current else {
         return Err(StackError::NotReached { what: "a stored configuration".to_owned() });
     };
-    let text = document_of(size_kb * KB_BYTES as usize);
+    let text = document_of_size(size_kb * BYTES_PER_KB as usize);
     let version = current.spec.record.version + 1;
     let record = ConfigRecord { version, digest: Digest::of(text.as_bytes()), text: text.into() };
     let next = StoredConfig { record, history: Vec::new() };
-    let from = &current.resource_version;
-    rig.client.update(Kind::Environments, "current", from, &next).await?;
-    tokio::time::sleep(SPREAD).await;
-    Ok(rig.read().await?.since(before))
+    let resource_version = &current.resource_version;
+    cluster.client.update(Kind::Environments, "current", resource_version, &next).await?;
+    tokio::time::sleep(PROPAGATION_TIME).await;
+    Ok(cluster.read_usage().await?.since(before))
 }
 
-fn net(count: u64, idle_count: u64) -> f64 {
+fn above_idle(count: u64, idle_count: u64) -> f64 {
     count as f64 - idle_count as f64
 }
--- a/crates/fakes/src/capacity/mod.rs
+++ b/crates/fakes/src/capacity/mod.rs
@@ -1,11 +1,12 @@
-//! Slopes of state, messages, processor time and memory, and their product at a planned size.
+//! Capacity planning: measures how messages, traffic, processor time and memory grow with the size
+//! of the system, and extrapolates them linearly to the planned size.
 
 pub mod calls;
 pub mod changes;
 pub mod decisions;
-pub mod links;
-pub mod product;
+pub mod idle;
+pub mod projection;
 pub mod report;
-pub mod rig;
+pub mod test_cluster;
 pub mod slope;
 pub mod proxy;
--- a/crates/fakes/src/capacity/proxy.rs
+++ b/crates/fakes/src/capacity/proxy.rs
@@ -1,4 +1,4 @@
-//! Forwards TCP connections to a process and counts what passes.
+//! TCP proxy that counts the traffic of a process.
 
 use std::{
     io,
@@ -20,21 +20,22 @@
 
 /// Size of the read buffer in bytes.
 const BUFFER_BYTES: usize = 256 * 1024;
-/// Bytes of the IP header and of the TCP header with time stamps.
+/// Bytes of the IP and TCP headers of a packet, with TCP timestamps.
 pub const PACKET_HEADER_BYTES: u64 = 52;
-/// Payload bytes of a full packet on Ethernet.
+/// Maximum TCP payload of a packet on Ethernet, in bytes.
 pub const PACKET_PAYLOAD_BYTES: u64 = 1448;
 
-/// What passed in both directions.
+/// Traffic in both directions.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Traffic {
-    /// Payload bytes towards the process.
+    /// Payload bytes to the process.
     pub inbound_bytes: u64,
     /// Payload bytes from the process.
     pub outbound_bytes: u64,
-    /// Reads of data towards the process; one for each message, unless messages follow closely.
+    /// Reads of data for the process: one per message, unless messages that follow closely are read
+    /// together.
     pub inbound_messages: u64,
-    /// Reads of data from the process.
+    /// Reads of data from the process, counted in the same way.
     pub outbound_messages: u64,
 }
 
@@ -46,7 +47,7 @@
     outbound_messages: AtomicU64,
 }
 
-/// A forwarded port.
+/// A proxy on a loopback port in front of a process.
 #[derive(Debug)]
 pub struct CountingProxy {
     /// Address to connect to in place of the process.
@@ -56,7 +57,7 @@
 }
 
 impl CountingProxy {
-    /// Opens a port whose connections are forwarded to `target`.
+    /// Opens a loopback port and forwards its connections to `target`.
     ///
     /// # Errors
     ///
@@ -70,7 +71,7 @@
         Ok(Self { address, counters, stop })
     }
 
-    /// Returns what passed so far.
+    /// Returns the traffic so far.
     pub fn traffic(&self) -> Traffic {
         Traffic {
             inbound_bytes: self.counters.inbound_bytes.load(Ordering::Relaxed),
@@ -87,7 +88,7 @@
 }
 
 impl Traffic {
-    /// Returns what passed since `earlier`.
+    /// Returns the traffic since `earlier`.
     pub fn since(self, earlier: Self) -> Self {
         Self {
             inbound_bytes: self.inbound_bytes - earlier.inbound_bytes,
@@ -97,7 +98,7 @@
         }
     }
 
-    /// Adds the traffic of another proxy.
+    /// Returns the sum with the traffic of another proxy.
     pub fn plus(self, other: Self) -> Self {
         Self {
             inbound_bytes: self.inbound_bytes + other.inbound_bytes,
@@ -107,15 +108,15 @@
         }
     }
 
-    /// Returns payload bytes of both directions.
+    /// Returns the payload bytes of both directions.
     pub fn payload_bytes(self) -> u64 {
         self.inbound_bytes + self.outbound_bytes
     }
 
-    /// Returns bytes of both directions with TCP and IP headers.
+    /// Estimates the bytes of both directions including TCP and IP headers.
     ///
-    /// Each message is at least a packet, and each message towards the process brings one packet
-    /// with nothing but the acknowledgement of the answer.
+    /// Each message takes at least one packet. For each message to the process, one more packet
+    /// carries only the acknowledgement of the reply.
     pub fn wire_bytes(self) -> u64 {
         let packets =
             |bytes: u64, messages: u64| messages.max(bytes.div_ceil(PACKET_PAYLOAD_BYTES));
@@ -140,7 +141,7 @@
         let (counters, stop) = (counters.clone(), stop.clone());
         tokio::spawn(async move {
             tokio::select! {
-                // A connection that breaks shows in what the processes do next.
+                // Errors are ignored: the processes on both sides see the connection close.
                 _ = forward(stream, target, counters) => {}
                 () = stop.cancelled() => {}
             }
@@ -154,16 +155,25 @@
     server.set_nodelay(true)?;
     let (client_read, client_write) = client.into_split();
     let (server_read, server_write) = server.into_split();
-    let to = pump(client_read, server_write, &counters.inbound_bytes, &counters.inbound_messages);
-    let from =
-        pump(server_read, client_write, &counters.outbound_bytes, &counters.outbound_messages);
+    let inbound = forward_counted(
+        client_read,
+        server_write,
+        &counters.inbound_bytes,
+        &counters.inbound_messages,
+    );
+    let outbound = forward_counted(
+        server_read,
+        client_write,
+        &counters.outbound_bytes,
+        &counters.outbound_messages,
+    );
     tokio::select! {
-        ended = to => ended,
-        ended = from => ended,
+        result = inbound => result,
+        result = outbound => result,
     }
 }
 
-async fn pump(
+async fn forward_counted(
     mut from: OwnedReadHalf,
     mut to: OwnedWriteHalf,
     bytes: &AtomicU64,
--- a/crates/fakes/src/capacity/report.rs
+++ b/crates/fakes/src/capacity/report.rs
@@ -1,12 +1,12 @@
-//! Measurement of all slopes, and their tables.
+//! Runs all capacity measurements and formats the results.
 
 use std::fmt::Write;
 
 use serde::{Deserialize, Serialize};
 
 use super::{
-    calls, changes, decisions, links,
-    product::{self, Connections, Line, Variant},
+    calls, changes, decisions, idle,
+    projection::{self, Connections, HeartbeatVariant, ProjectedCost},
     slope::Slope,
 };
 use crate::{measure::machine::Machine, stack::run::StackError};
@@ -14,74 +14,76 @@
 /// All measured slopes.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slopes {
-    /// Routing decision against candidates.
+    /// Time of a routing decision by number of candidates.
     pub routing: Slope,
-    /// Assignment against upstreams.
+    /// Time of an assignment by number of upstreams.
     pub assignment: Slope,
-    /// Attempt in the agent's core against remembered attempts.
+    /// Time of an attempt in the agent's core by number of remembered attempts.
     pub agent_attempt: Slope,
-    /// Memory of the agent's core against remembered attempts.
+    /// Memory of the agent's core by number of remembered attempts.
     pub agent_core_memory: Slope,
-    /// Adoption of a document against its size.
+    /// Time to adopt a configuration document by its size.
     pub adoption: Slope,
-    /// Processor time of an idle entry against its agents.
+    /// Processor time of an idle entry by number of connected agents.
     pub entry_cpu: Slope,
-    /// Memory of an idle entry against its agents.
+    /// Memory of an idle entry by number of connected agents.
     pub entry_memory: Slope,
-    /// Traffic of an entry's idle links against its agents.
+    /// Traffic of an entry's idle connections by number of connected agents.
     pub link_bytes: Slope,
-    /// Processor time of an idle agent against its entries.
+    /// Processor time of an idle agent by number of connected entries.
     pub agent_cpu: Slope,
-    /// Memory of an idle agent against its entries.
+    /// Memory of an idle agent by number of connected entries.
     pub agent_memory: Slope,
-    /// Traffic among all entries against their number.
+    /// Gossip traffic among all entries by number of entries.
     pub gossip_bytes: Slope,
-    /// Platform reads of all entries against their number.
+    /// Platform reads of all entries by number of entries.
     pub platform_reads: Slope,
-    /// Link traffic against service calls.
+    /// Traffic between entry and agents by number of service calls.
     pub call_bytes: Slope,
-    /// Messages to agents against service calls.
+    /// Messages to agents by number of service calls.
     pub call_messages: Slope,
-    /// Processor time of the entry against service calls.
+    /// Processor time of the entry by number of service calls.
     pub call_entry_cpu: Slope,
-    /// Processor time of the agents against service calls.
+    /// Processor time of the agents by number of service calls.
     pub call_agent_cpu: Slope,
-    /// Platform writes against claimed calls.
+    /// Platform writes by number of claimed calls.
     pub claim_writes: Slope,
-    /// Platform traffic against claimed calls.
+    /// Platform traffic by number of claimed calls.
     pub claim_bytes: Slope,
-    /// Processor time of the entry against claimed calls.
+    /// Processor time of the entry by number of claimed calls.
     pub claim_entry_cpu: Slope,
-    /// Link traffic and processor time of entry and agents against tokens of a pipeline.
+    /// Traffic between entry and agents, processor time of the entry, and processor time of the
+    /// agents, by number of tokens of a pipeline.
     pub tokens: [Slope; 3],
-    /// Traffic of a change to one agent against the size of the document.
+    /// Traffic of a configuration change to one agent by document size.
     pub change_bytes: Slope,
-    /// Processor time of a change at an entry with ten agents against the size of the document.
+    /// Processor time of a configuration change at an entry with ten agents by document size.
     pub change_entry_cpu: Slope,
-    /// Processor time of a change at an agent against the size of the document.
+    /// Processor time of a configuration change at an agent by document size.
     pub change_agent_cpu: Slope,
-    /// Copies of a change at an agent against its entries.
+    /// Copies of a configuration change that an agent receives by number of connected entries.
     pub change_copies: Slope,
 }
 
-/// Slopes and their product at the planned size.
+/// Measured slopes and their projection to the planned size.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct CapacityReport {
-    /// Where and when the slopes were measured.
+    /// Machine, build and start time of the measurement.
     pub machine: Machine,
-    /// The slopes.
+    /// Measured slopes.
     pub slopes: Slopes,
-    /// Claimed calls that one entry carried in a second.
+    /// Claimed calls per second that one entry completed.
     pub claims_per_second: f64,
-    /// Connections at the planned size.
+    /// Connections of entries and agents at the planned size.
     pub connections: Connections,
-    /// The product.
-    pub lines: Vec<Line>,
-    /// Heartbeats with other settings.
-    pub variants: Vec<Variant>,
+    /// Costs at the planned size.
+    #[serde(rename = "lines")]
+    pub projected_costs: Vec<ProjectedCost>,
+    /// Heartbeat costs at the planned size with other settings.
+    pub variants: Vec<HeartbeatVariant>,
 }
 
-/// Measures everything.
+/// Runs all measurements and extrapolates them to the planned size.
 ///
 /// # Errors
 ///
@@ -89,8 +91,8 @@
 pub async fn measure() -> Result<CapacityReport, StackError> {
     let machine = Machine::describe();
     let [agent_attempt, agent_core_memory] = decisions::agent_attempts();
-    let [entry_cpu, entry_memory, link_bytes] = links::by_agents().await?;
-    let [agent_cpu, agent_memory, gossip_bytes, platform_reads] = links::by_entries().await?;
+    let [entry_cpu, entry_memory, link_bytes] = idle::by_agents().await?;
+    let [agent_cpu, agent_memory, gossip_bytes, platform_reads] = idle::by_entries().await?;
     let costs = calls::measure().await?;
     let [call_bytes, call_messages, call_entry_cpu, call_agent_cpu] = costs.service;
     let [claim_writes, claim_bytes, claim_entry_cpu] = costs.claimed;
@@ -122,14 +124,21 @@
         change_copies: changes::by_entries().await?,
     };
     let connections = Connections::planned();
-    let lines = product::lines(&slopes, connections);
-    let variants = product::variants(&slopes);
+    let projected_costs = projection::project(&slopes, connections);
+    let variants = projection::variants(&slopes);
     let claims_per_second = costs.claims_per_second;
-    Ok(CapacityReport { machine, slopes, claims_per_second, connections, lines, variants })
+    Ok(CapacityReport {
+        machine,
+        slopes,
+        claims_per_second,
+        connections,
+        projected_costs,
+        variants,
+    })
 }
 
 impl Slopes {
-    /// Lists all slopes.
+    /// Returns all slopes in the order of the table.
     pub fn all(&self) -> Vec<&Slope> {
         let mut all = vec![
             &self.routing,
@@ -164,11 +173,11 @@
 }
 
 impl CapacityReport {
-    /// Formats the tables in Markdown.
+    /// Formats the results as Markdown tables.
     pub fn table(&self) -> String {
         let mut table = format!("{}\n\n", self.machine);
         self.write_slopes(&mut table);
-        self.write_lines(&mut table);
+        self.write_projected_costs(&mut table);
         self.write_variants(&mut table);
         table
     }
@@ -183,9 +192,9 @@
                 slope.quantity,
                 slope.unit,
                 slope.per,
-                points(slope),
-                number(slope.fit.base),
-                number(slope.fit.slope),
+                format_points(slope),
+                format_number(slope.fit.base),
+                format_number(slope.fit.slope),
                 slope.fit.r_squared
             );
         }
@@ -193,17 +202,17 @@
         let _ = writeln!(table, "\nclaimed calls through one entry: {claims:.0} a second\n");
     }
 
-    fn write_lines(&self, table: &mut String) {
+    fn write_projected_costs(&self, table: &mut String) {
         let _ = writeln!(table, "| role | item | amount | unit | limit | times the limit |");
         let _ = writeln!(table, "|---|---|---:|---|---:|---:|");
-        for line in &self.lines {
-            let (limit, times) = match line.budget {
-                Some(budget) => (number(budget), format!("{:.2}", line.amount / budget)),
+        for cost in &self.projected_costs {
+            let (limit, ratio) = match cost.budget {
+                Some(budget) => (format_number(budget), format!("{:.2}", cost.amount / budget)),
                 None => ("-".to_owned(), "-".to_owned()),
             };
-            let amount = number(line.amount);
-            let (role, item, unit) = (&line.role, &line.item, &line.unit);
-            let _ = writeln!(table, "| {role} | {item} | {amount} | {unit} | {limit} | {times} |");
+            let amount = format_number(cost.amount);
+            let (role, item, unit) = (&cost.role, &cost.item, &cost.unit);
+            let _ = writeln!(table, "| {role} | {item} | {amount} | {unit} | {limit} | {ratio} |");
         }
     }
 
@@ -219,34 +228,34 @@
                 "| {} | {} | {} | {} | {} | {} | {} |",
                 variant.subset_size,
                 variant.heartbeat_seconds,
-                number(variant.connections.agents_per_entry),
-                number(variant.connections.entries_per_agent),
-                number(variant.entry_bytes),
-                number(variant.agent_bytes),
-                number(variant.entry_cpu_us)
+                format_number(variant.connections.agents_per_entry),
+                format_number(variant.connections.entries_per_agent),
+                format_number(variant.entry_bytes),
+                format_number(variant.agent_bytes),
+                format_number(variant.entry_cpu_us)
             );
         }
     }
 }
 
-fn points(slope: &Slope) -> String {
+fn format_points(slope: &Slope) -> String {
     let mut text = String::new();
     for point in &slope.points {
         if !text.is_empty() {
             text.push_str(", ");
         }
-        let _ = write!(text, "{}: {}", number(point.size), number(point.value));
+        let _ = write!(text, "{}: {}", format_number(point.size), format_number(point.value));
     }
     text
 }
 
-/// Formats a number with about three significant digits.
-fn number(value: f64) -> String {
+/// Formats a number with about three significant digits, with suffix `k` or `M` if it is large.
+fn format_number(value: f64) -> String {
     match value.abs() {
-        size if size >= 1_000_000.0 => format!("{:.2}M", value / 1_000_000.0),
-        size if size >= 10_000.0 => format!("{:.1}k", value / 1_000.0),
-        size if size >= 100.0 || value.fract() == 0.0 => format!("{value:.0}"),
-        size if size >= 1.0 => format!("{value:.2}"),
+        magnitude if magnitude >= 1_000_000.0 => format!("{:.2}M", value / 1_000_000.0),
+        magnitude if magnitude >= 10_000.0 => format!("{:.1}k", value / 1_000.0),
+        magnitude if magnitude >= 100.0 || value.fract() == 0.0 => format!("{value:.0}"),
+        magnitude if magnitude >= 1.0 => format!("{value:.2}"),
         _ => format!("{value:.4}"),
     }
 }
--- a/crates/fakes/src/capacity/slope.rs
+++ b/crates/fakes/src/capacity/slope.rs
@@ -1,26 +1,26 @@
-//! A measured quantity against a size, with the line through it.
+//! Growth of a measured quantity with a size.
 
 use serde::{Deserialize, Serialize};
 
 use crate::measure::fit::{Fit, Point};
 
-/// A measured quantity against a size.
+/// Measurements of a quantity at several sizes, with a fitted line.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct Slope {
-    /// What was measured.
+    /// Name of the measured quantity.
     pub quantity: String,
     /// Unit of the value.
     pub unit: String,
-    /// What the size counts.
+    /// What the size counts, in the singular.
     pub per: String,
-    /// Measured points.
+    /// Measured sizes and values.
     pub points: Vec<Point>,
-    /// Line through the points.
+    /// Line fitted to the points.
     pub fit: Fit,
 }
 
 impl Slope {
-    /// Fits a line through pairs of size and value.
+    /// Fits a line to `(size, value)` pairs.
     pub fn new(quantity: &str, unit: &str, per: &str, pairs: &[(f64, f64)]) -> Self {
         let mut points = Vec::new();
         for &(size, value) in pairs {
--- a/crates/fakes/src/capacity/rig.rs
+++ b/crates/fakes/src/capacity/test_cluster.rs
@@ -1,4 +1,5 @@
-//! Real entries and agents around one upstream stand-in, with every connection counted.
+//! Entry and agent processes around one upstream stand-in, with traffic counted on all connections
+//! except those to the upstream.
 
 use std::time::Duration;
 
@@ -21,60 +22,62 @@
     },
 };
 
-/// Time between two looks at a condition.
+/// Interval between two checks of a condition.
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// Number of looks before a condition counts as not reached.
+/// Number of checks after which a condition counts as not reached.
 const POLL_LIMIT: u32 = 600;
-/// Time for which the processes settle after all connections are open.
-const SETTLE: Duration = Duration::from_millis(1500);
+/// Wait after all connections are open, so that start-up work does not count as idle cost.
+const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
-/// An agent or entry whose connections pass a proxy.
+/// An agent or entry with a proxy that counts the traffic of incoming connections.
 #[derive(Debug)]
 pub struct ProxiedProcess {
     /// The process.
     pub process: Process,
-    /// The proxy in front of it.
+    /// The proxy, whose address is registered as that of the instance.
     pub proxy: CountingProxy,
 }
 
-/// Running processes.
+/// Running processes of a measurement.
 #[derive(Debug)]
-pub struct Rig {
+pub struct TestCluster {
     /// The platform stand-in.
     pub platform: Process,
     /// The proxy between the entries and the platform.
     pub platform_proxy: CountingProxy,
-    /// Client of the platform.
+    /// Client of the platform stand-in.
     pub client: Client,
-    /// The one upstream stand-in, which all agents use.
+    /// The single upstream stand-in, shared by all agents.
     pub upstream: Process,
     /// Agents.
     pub agents: Vec<ProxiedProcess>,
     /// Entries.
     pub entries: Vec<ProxiedProcess>,
-    /// Caller for requests and switches.
+    /// Caller for requests to entries and stand-ins.
     pub caller: Caller,
 }
 
-/// What the processes used and what passed between them.
+/// Resource usage of the processes and traffic between them.
+///
+/// Counts from the start of the processes, or between two readings.
 #[derive(Clone, Copy, Debug, Default)]
-pub struct Reading {
+pub struct ClusterUsage {
     /// Usage of all entries.
     pub entries: Usage,
     /// Usage of all agents.
     pub agents: Usage,
     /// Traffic between entries and agents.
-    pub links: Traffic,
+    pub agent_traffic: Traffic,
     /// Traffic among entries.
-    pub gossip: Traffic,
+    pub gossip_traffic: Traffic,
     /// Traffic between entries and the platform.
     pub platform_traffic: Traffic,
-    /// Calls of the platform.
-    pub platform: Counters,
+    /// Calls that the platform stand-in received.
+    pub platform_calls: Counters,
 }
 
-impl Rig {
-    /// Starts the processes and waits until every entry reaches every agent.
+impl TestCluster {
+    /// Starts the processes and waits until every entry is connected to every agent.
     ///
     /// # Errors
     ///
@@ -91,7 +94,7 @@
             CountingProxy::open(platform.address).await.map_err(ProcessError::from)?;
         write_initial_config(&client, 1, document).await?;
         let upstream = start_upstream(&UpstreamPlan::new("shared", 0), "127.0.0.1:0").await?;
-        let mut rig = Self {
+        let mut cluster = Self {
             platform,
             platform_proxy,
             client,
@@ -101,47 +104,47 @@
             caller: Caller::new("lone-star"),
         };
         for number in 0..agents {
-            rig.add_agent(number).await?;
+            cluster.add_agent(number).await?;
         }
         for number in 0..entries {
-            rig.add_entry(number).await?;
+            cluster.add_entry(number).await?;
         }
-        rig.wait_connected().await?;
-        tokio::time::sleep(SETTLE).await;
-        Ok(rig)
+        cluster.wait_until_connected().await?;
+        tokio::time::sleep(SETTLE_TIME).await;
+        Ok(cluster)
     }
 
-    /// Reads usage and traffic so far.
+    /// Reads the usage since the start of the processes.
     ///
     /// # Errors
     ///
     /// Returns an error when the platform stand-in does not answer.
-    pub async fn read(&self) -> Result<Reading, StackError> {
-        let mut reading = Reading {
-            platform: self.platform_counters().await?,
+    pub async fn read_usage(&self) -> Result<ClusterUsage, StackError> {
+        let mut usage = ClusterUsage {
+            platform_calls: self.platform_counters().await?,
             platform_traffic: self.platform_proxy.traffic(),
-            ..Reading::default()
+            ..ClusterUsage::default()
         };
         for entry in &self.entries {
-            reading.entries = reading.entries.plus(process_usage(&entry.process));
-            reading.gossip = reading.gossip.plus(entry.proxy.traffic());
+            usage.entries = usage.entries.plus(process_usage(&entry.process));
+            usage.gossip_traffic = usage.gossip_traffic.plus(entry.proxy.traffic());
         }
         for agent in &self.agents {
-            reading.agents = reading.agents.plus(process_usage(&agent.process));
-            reading.links = reading.links.plus(agent.proxy.traffic());
+            usage.agents = usage.agents.plus(process_usage(&agent.process));
+            usage.agent_traffic = usage.agent_traffic.plus(agent.proxy.traffic());
         }
-        Ok(reading)
+        Ok(usage)
     }
 
-    /// Reads what is used and passes within `length`.
+    /// Returns the usage within `duration`.
     ///
     /// # Errors
     ///
     /// Returns an error when the platform stand-in does not answer.
-    pub async fn watch(&self, length: Duration) -> Result<Reading, StackError> {
-        let before = self.read().await?;
-        tokio::time::sleep(length).await;
-        Ok(self.read().await?.since(before))
+    pub async fn measure_for(&self, duration: Duration) -> Result<ClusterUsage, StackError> {
+        let before = self.read_usage().await?;
+        tokio::time::sleep(duration).await;
+        Ok(self.read_usage().await?.since(before))
     }
 
     /// Stops all processes.
@@ -187,18 +190,18 @@
         Ok(())
     }
 
-    async fn wait_connected(&self) -> Result<(), StackError> {
+    async fn wait_until_connected(&self) -> Result<(), StackError> {
         for entry in &self.entries {
-            self.wait_entry(entry).await?;
+            self.wait_until_entry_connected(entry).await?;
         }
         Ok(())
     }
 
-    async fn wait_entry(&self, entry: &ProxiedProcess) -> Result<(), StackError> {
+    async fn wait_until_entry_connected(&self, entry: &ProxiedProcess) -> Result<(), StackError> {
         for _ in 0..POLL_LIMIT {
             let address = entry.process.address;
-            let answer = self.caller.send(address, "GET", "/v1/status", &[], "").await;
-            if answer.is_ok_and(|it| connected(&it.body) == self.agents.len()) {
+            let response = self.caller.send(address, "GET", "/v1/status", &[], "").await;
+            if response.is_ok_and(|it| connected_upstreams(&it.body) == self.agents.len()) {
                 return Ok(());
             }
             tokio::time::sleep(POLL_INTERVAL).await;
@@ -208,35 +211,35 @@
     }
 
     async fn platform_counters(&self) -> Result<Counters, StackError> {
-        let answer =
+        let response =
             self.caller.send(self.platform.address, "GET", "/fake/counters", &[], "").await?;
-        serde_json::from_value(answer.body)
+        serde_json::from_value(response.body)
             .map_err(|it| StackError::Caller(CallerError { detail: it.to_string() }))
     }
 }
 
-impl Reading {
-    /// Returns what was used and passed since `earlier`.
+impl ClusterUsage {
+    /// Returns the usage since `earlier`.
     pub fn since(self, earlier: Self) -> Self {
         Self {
             entries: self.entries.since(earlier.entries),
             agents: self.agents.since(earlier.agents),
-            links: self.links.since(earlier.links),
-            gossip: self.gossip.since(earlier.gossip),
+            agent_traffic: self.agent_traffic.since(earlier.agent_traffic),
+            gossip_traffic: self.gossip_traffic.since(earlier.gossip_traffic),
             platform_traffic: self.platform_traffic.since(earlier.platform_traffic),
-            platform: Counters {
-                reads: self.platform.reads - earlier.platform.reads,
-                writes: self.platform.writes - earlier.platform.writes,
-                watches: self.platform.watches - earlier.platform.watches,
-                limited: self.platform.limited - earlier.platform.limited,
-                effects: self.platform.effects - earlier.platform.effects,
+            platform_calls: Counters {
+                reads: self.platform_calls.reads - earlier.platform_calls.reads,
+                writes: self.platform_calls.writes - earlier.platform_calls.writes,
+                watches: self.platform_calls.watches - earlier.platform_calls.watches,
+                limited: self.platform_calls.limited - earlier.platform_calls.limited,
+                effects: self.platform_calls.effects - earlier.platform_calls.effects,
             },
         }
     }
 }
 
-/// Counts the upstreams that a status page shows as connected.
-fn connected(status: &serde_json::Value) -> usize {
+/// Counts the connected upstreams in a status response.
+fn connected_upstreams(status: &serde_json::Value) -> usize {
     let upstreams = status["upstreams"].as_array().map_or(&[][..], Vec::as_slice);
     upstreams.iter().filter(|it| it["connected"] == true).count()
 }
