--- a/crates/fakes/tests/experiments.rs
+++ b/crates/fakes/tests/experiments.rs
@@ -1,4 +1,4 @@
-//! Promises that hold in every experiment, whatever the figures.
+//! Guarantees of the simulated fleet that hold in experiments regardless of the measured values.
 
 use yuccatrail_fakes::model::{Fleet, Mode, Outcome, run, scenarios};
 
@@ -11,20 +11,20 @@
 }
 
 #[test]
-fn data_centre_out_takes_nothing_and_loses_nothing() {
+fn a_data_centre_that_is_out_gets_no_requests_and_none_are_lost() {
     let outcome = outcome("data-centre-out", Mode::Managed);
     assert_eq!(outcome.lost, 0);
     assert_eq!(outcome.taken_while_out, 0);
 }
 
 #[test]
-fn cold_pool_falls_over_only_without_the_policy() {
+fn cold_upstreams_are_overloaded_only_in_baseline_mode() {
     assert_eq!(outcome("cold-pool", Mode::Managed).fell_over, 0);
     assert!(outcome("cold-pool", Mode::Baseline).fell_over > 0);
 }
 
 #[test]
-fn same_seed_gives_the_same_figures() {
+fn the_same_seed_gives_the_same_outcome() {
     let first = outcome("steady-50", Mode::Managed);
     let second = outcome("steady-50", Mode::Managed);
     let json = |it: &Outcome| serde_json::to_string(it).unwrap();
--- a/crates/fakes/tests/planned_stop.rs
+++ b/crates/fakes/tests/graceful_shutdown.rs
@@ -1,4 +1,4 @@
-//! A planned stop of an entry or an agent cuts no request and loses none.
+//! A graceful shutdown of an entry or an agent interrupts no request and loses none.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,20 +12,21 @@
     traffic::{ResponseCheck, SteadyTraffic, is_complete_draft, read_order},
 };
 
-/// Requests in progress when an entry is told to stop.
+/// Number of requests in progress when an entry begins its graceful shutdown.
 const REQUESTS: usize = 40;
-/// Time between two requests while an agent stops.
+/// Time between two requests of the steady load while an agent shuts down.
 const INTERVAL: Duration = Duration::from_millis(40);
 
-/// Requests that are sent at once to make a queue.
+/// Number of requests that are sent at the same time so that a queue builds up.
 const BURST: usize = 30;
-/// Number of the first request of the burst; the steady traffic has lower ones.
-const FIRST_OF_BURST: usize = 100_000;
+/// Number of the first request in the burst; the steady load uses lower numbers.
+const FIRST_BURST_NUMBER: usize = 100_000;
 
-/// Keeps one stack at a time on the machine.
+/// Lets the tests run one stack at a time.
 static ONE_STACK: Mutex<()> = Mutex::const_new(());
 
-/// Starts a stack with slow work orders and one slow engine.
+/// Starts a stack with one slow engine, and with work orders that have the given concurrency and
+/// delay.
 async fn start(concurrency: u32, delay_ms: u64) -> Stack {
     let mut plan = StackPlan::small(&["north", "south"], &["north", "south"]);
     plan.upstreams.retain(|it| it.name != "engines-south");
@@ -36,11 +37,11 @@
     Stack::start(plan).await.expect("the stack starts")
 }
 
-/// Waits until the readiness check at `address` refuses.
+/// Waits until the readiness check at `address` returns status 503.
 async fn wait_not_ready(caller: &Caller, address: SocketAddr) {
     loop {
-        let answer = caller.send(address, "GET", "/readyz", &[], "").await.expect("an answer");
-        if answer.status == 503 {
+        let response = caller.send(address, "GET", "/readyz", &[], "").await.expect("a response");
+        if response.status == 503 {
             return;
         }
         tokio::time::sleep(Duration::from_millis(10)).await;
@@ -48,7 +49,7 @@
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_entry_answers_all_that_it_has_and_refuses_the_rest() {
+async fn an_entry_that_shuts_down_completes_its_requests_and_refuses_new_ones() {
     let _one = ONE_STACK.lock().await;
     let mut stack = start(32, 1_000).await;
     let caller = Caller::new("lone-star");
@@ -56,66 +57,76 @@
     let address = entry.address;
     let plain = (0..REQUESTS).map(|it| read_order(&caller, address, it));
     let streamed = caller.pipeline_stream(address, "draft", "long dispute");
-    let stopped = async {
-        let has_all = |it: &serde_json::Value| it["in_progress"] == REQUESTS + 1;
-        stack.wait_status(address, "requests in progress", has_all).await.expect("in progress");
-        entry.signal(Signal::Terminate).await.expect("a signal");
+    let shutdown = async {
+        let has_all_requests = |it: &serde_json::Value| it["in_progress"] == REQUESTS + 1;
+        stack
+            .wait_status(address, "all requests in progress", has_all_requests)
+            .await
+            .expect("all requests are in progress");
+        entry.signal(Signal::Terminate).await.expect("the signal is sent");
         wait_not_ready(&caller, address).await;
         let refused = read_order(&caller, address, REQUESTS).await;
         assert!(matches!(refused, ResponseCheck::NotRun(_)), "{refused:?}");
     };
-    let (plain, streamed, ()) = tokio::join!(join_all(plain), streamed, stopped);
+    let (plain, streamed, ()) = tokio::join!(join_all(plain), streamed, shutdown);
     assert_eq!(plain, vec![ResponseCheck::Complete; REQUESTS]);
     assert!(is_complete_draft(&streamed.expect("a stream"), "long dispute"));
-    let status = entry.close().await.expect("the entry stops");
+    let status = entry.close().await.expect("the entry exits");
     assert_eq!(status.code(), Some(0));
-    stack.close().await.expect("a clean stop");
+    stack.close().await.expect("all processes exit with success");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_stopping_agent_finishes_what_runs_and_hands_its_queue_to_others() {
+async fn an_agent_that_shuts_down_completes_running_calls_and_returns_its_queue() {
     let _one = ONE_STACK.lock().await;
     let mut stack = start(2, 150).await;
     let caller = Caller::new("lone-star");
     let entries: Vec<SocketAddr> = stack.entries.iter().map(|it| it.address).collect();
     let traffic = SteadyTraffic::start(caller.clone(), entries.clone(), INTERVAL);
     let streamed = caller.pipeline_stream(entries[0], "draft", "long dispute");
-    // The steady traffic alone leaves it to chance whether a queue stands when the test looks.
-    let burst = join_all((0..BURST).map(|it| read_order(&caller, entries[0], FIRST_OF_BURST + it)));
-    let stopped = async {
+    // The steady load alone would leave it to chance whether there is a queue at the check below.
+    let burst =
+        join_all((0..BURST).map(|it| read_order(&caller, entries[0], FIRST_BURST_NUMBER + it)));
+    let shutdown = async {
         let engine = stack.upstream_index("engines-north").expect("an engine");
         stack.wait_calls_running(engine, 1).await.expect("the stream runs");
         let orders = stack.upstream_index("work-orders-north").expect("an upstream");
-        // Every call slot is taken and further calls wait in the agent.
+        // All slots of the upstream are in use and further calls wait in the queue of the agent.
         let has_queue = |it: &serde_json::Value| {
             let mut upstreams = it["upstreams"].as_array().into_iter().flatten();
             upstreams.any(|it| it["name"] == "work-orders-north" && it["load"]["queued"] != 0)
         };
-        stack.wait_status(entries[0], "a queue", has_queue).await.expect("a queue");
+        stack
+            .wait_status(entries[0], "calls in the queue of the agent", has_queue)
+            .await
+            .expect("the agent has a queue");
         for agent in [&stack.upstreams[engine].agent, &stack.upstreams[orders].agent] {
-            agent.signal(Signal::Terminate).await.expect("a signal");
-            wait_not_ready(&caller, agent.admin_address.expect("an address")).await;
+            agent.signal(Signal::Terminate).await.expect("the signal is sent");
+            wait_not_ready(
+                &caller,
+                agent.admin_address.expect("the agent reports an admin address"),
+            )
+            .await;
         }
-        let before = stack.record(&stack.upstreams[orders]).await.expect("a record").calls;
+        let before =
+            stack.record(&stack.upstreams[orders]).await.expect("the record of the upstream").calls;
         (before, orders)
     };
-    let (streamed, burst, (before, orders)) = tokio::join!(streamed, burst, stopped);
-    for verdict in burst {
-        assert!(
-            matches!(verdict, ResponseCheck::Complete | ResponseCheck::NotRun(_)),
-            "{verdict:?}"
-        );
+    let (streamed, burst, (before, orders)) = tokio::join!(streamed, burst, shutdown);
+    for check in burst {
+        assert!(matches!(check, ResponseCheck::Complete | ResponseCheck::NotRun(_)), "{check:?}");
     }
     assert!(is_complete_draft(&streamed.expect("a stream"), "long dispute"));
-    let tally = traffic.close().await;
-    let after = stack.record(&stack.upstreams[orders]).await.expect("a record").calls;
+    let checked = traffic.close().await;
+    let after =
+        stack.record(&stack.upstreams[orders]).await.expect("the record of the upstream").calls;
     assert_eq!(after, before);
-    tally.check(&stack).await.expect("records");
+    checked.check(&stack).await.expect("the records of the upstreams");
     for pair in &mut stack.upstreams {
         if pair.plan.data_centre == "north" {
-            let status = pair.agent.wait().await.expect("the agent stops");
+            let status = pair.agent.wait().await.expect("the agent exits");
             assert_eq!(status.code(), Some(0));
         }
     }
-    stack.close().await.expect("a clean stop");
+    stack.close().await.expect("all processes exit with success");
 }
--- a/crates/fakes/tests/load_plan.rs
+++ b/crates/fakes/tests/load_plan.rs
@@ -1,4 +1,4 @@
-//! Plans of loads: seeds, rates and shares.
+//! Load plans: seeds, arrival rates and shares; and the linear fit of measurements.
 
 use yuccatrail_fakes::{
     load::plan::{CallKind, Mix, Phase, plan},
@@ -10,7 +10,7 @@
 }
 
 #[test]
-fn same_seed_gives_same_plan() {
+fn the_same_seed_gives_the_same_plan() {
     let phases = [phase(2.0, 100.0)];
     assert_eq!(plan(&phases, 7), plan(&phases, 7));
     assert_ne!(plan(&phases, 7), plan(&phases, 8));
@@ -23,22 +23,22 @@
     let early = calls.iter().filter(|it| it.at_us < 10_000_000).count();
     let late = calls.iter().filter(|it| it.at_us >= 15_000_000).count();
     assert_eq!(early + late, calls.len());
-    assert!((850..1150).contains(&early), "{early} calls at 100 a second in 10 s");
-    assert!((3700..4300).contains(&late), "{late} calls at 400 a second in 10 s");
+    assert!((850..1150).contains(&early), "{early} calls in 10 s at a rate of 100 per second");
+    assert!((3700..4300).contains(&late), "{late} calls in 10 s at a rate of 400 per second");
 }
 
 #[test]
-fn shares_hold() {
+fn shares_of_call_kinds_and_customers_match_the_mix() {
     let calls = plan(&[phase(100.0, 100.0)], 3);
     let writes = calls.iter().filter(|it| it.kind == CallKind::ServiceWrite).count();
-    let small = calls.iter().filter(|it| it.customer == "hill-country").count();
+    let small_customer = calls.iter().filter(|it| it.customer == "hill-country").count();
     let part = |count: usize| count as f64 / calls.len() as f64;
     assert!((part(writes) - 0.1).abs() < 0.02);
-    assert!((part(small) - 0.2).abs() < 0.02);
+    assert!((part(small_customer) - 0.2).abs() < 0.02);
 }
 
 #[test]
-fn fit_finds_the_line() {
+fn fit_finds_base_and_slope_of_a_line() {
     let mut points = Vec::new();
     for size in [1.0, 10.0, 30.0, 60.0] {
         points.push(Point { size, value: 5.0 + 0.25 * size });
--- a/crates/fakes/tests/load_run.rs
+++ b/crates/fakes/tests/load_run.rs
@@ -1,4 +1,4 @@
-//! A short load on the real processes: every answer is the expected one.
+//! A short load on the real processes: every response is the expected one.
 
 use yuccatrail_fakes::{
     load::{
@@ -13,7 +13,7 @@
 };
 
 #[tokio::test(flavor = "multi_thread")]
-async fn answers_of_a_short_load_are_right() -> Result<(), StackError> {
+async fn responses_to_a_short_load_are_correct() -> Result<(), StackError> {
     let stack = Stack::start(StackPlan::sized(1, 1)).await?;
     let settings = LoadSettings {
         entries: vec![stack.entry(0)],
--- a/crates/fakes/tests/not_run.rs
+++ b/crates/fakes/tests/not_run.rs
@@ -1,4 +1,5 @@
-//! A request that is refused as not run was not run, in random traffic with random faults.
+//! Under random load and random faults, no request that was refused with the outcome `not_run` has
+//! run at an upstream.
 
 use std::{
     sync::{
@@ -25,51 +26,56 @@
 
 /// Seed of the calls and of the faults.
 const SEED: u64 = 20_261_203;
-/// Callers at work at once.
+/// Number of concurrent callers.
 const CALLERS: u64 = 8;
-/// Calls of each caller.
-const CALLS: usize = 25;
-/// Times that a call is sent again while its outcome is unknown.
+/// Number of calls of each caller, without resends.
+const CALLS_PER_CALLER: usize = 25;
+/// Highest number of resends of a call whose outcome is unknown.
 const RESENDS: usize = 2;
 /// Usual duration of a call, in milliseconds.
 const CALL_MS: u64 = 20;
 /// Longest time between two calls of a caller, in milliseconds.
-const MAX_THOUGHT_MS: u64 = 200;
+const MAX_CALL_INTERVAL_MS: u64 = 200;
 /// Longest pause of an agent, in milliseconds.
 const MAX_PAUSE_MS: u64 = 2_000;
-/// Longest time between two faults, in milliseconds.
-const MAX_CALM_MS: u64 = 200;
-/// Deadlines that callers ask for, in milliseconds.
+/// Longest duration of a fault that is set by switches, in milliseconds.
+const MAX_FAULT_MS: u64 = 200;
+/// Deadlines that callers request, in milliseconds.
 const DEADLINES_MS: [&str; 4] = ["30", "150", "600", "4000"];
 
-/// What a caller was told.
-struct Told {
+/// Result of a call as reported to its caller.
+struct ReportedCall {
     request: String,
     key: Option<String>,
-    verdict: ReportedOutcome,
+    outcome: ReportedOutcome,
     reason: String,
 }
 
-/// Sends random calls one after the other.
-async fn call(caller: Caller, entries: [std::net::SocketAddr; 2], number: u64) -> Vec<Told> {
+/// Sends random calls one after another.
+async fn send_calls(
+    caller: Caller,
+    entries: [std::net::SocketAddr; 2],
+    number: u64,
+) -> Vec<ReportedCall> {
     let mut random = StdRng::seed_from_u64(SEED + number);
-    let mut told = Vec::new();
-    for index in 0..CALLS {
+    let mut reported = Vec::new();
+    for index in 0..CALLS_PER_CALLER {
         let text = format!("call {number}-{index}");
-        tokio::time::sleep(Duration::from_millis(random.random_range(0..MAX_THOUGHT_MS))).await;
+        tokio::time::sleep(Duration::from_millis(random.random_range(0..MAX_CALL_INTERVAL_MS)))
+            .await;
         let deadline_ms = DEADLINES_MS[random.random_range(0..DEADLINES_MS.len())];
         let kind = random.random_range(0..5);
         for _ in 0..=RESENDS {
             let entry = entries[random.random_range(0..2)];
             let last = send(&caller, entry, kind, &text, deadline_ms).await;
-            let ends = last.verdict != ReportedOutcome::Unknown;
-            told.push(last);
-            if ends {
+            let is_known = last.outcome != ReportedOutcome::Unknown;
+            reported.push(last);
+            if is_known {
                 break;
             }
         }
     }
-    told
+    reported
 }
 
 async fn send(
@@ -78,70 +84,77 @@
     kind: u32,
     text: &str,
     deadline_ms: &str,
-) -> Told {
+) -> ReportedCall {
     let deadline = ("x-deadline-ms", deadline_ms);
     match kind {
         0 => {
             let body = serde_json::json!({ "input": text }).to_string();
             let path = "/v1/pipelines/explain";
-            let answer = caller.send(entry, "POST", path, &[deadline], body).await;
-            check_done(&answer, |it| it["output"]["text"] == expected::explanation(text));
-            told(None, &answer)
+            let response = caller.send(entry, "POST", path, &[deadline], body).await;
+            check_completed(&response, |it| it["output"]["text"] == expected::explanation(text));
+            reported_call(None, &response)
         }
-        1 => streamed(caller, entry, text).await,
+        1 => send_streamed(caller, entry, text).await,
         2 => {
-            let answer = caller.search(entry, text, &[deadline]).await;
-            check_done(&answer, |it| *it == expected::search(text));
-            told(None, &answer)
+            let response = caller.search(entry, text, &[deadline]).await;
+            check_completed(&response, |it| *it == expected::search(text));
+            reported_call(None, &response)
         }
-        3 => told(Some(text), &caller.notice(entry, text, &[deadline]).await),
+        3 => reported_call(Some(text), &caller.notice(entry, text, &[deadline]).await),
         _ => {
-            // The resend of a call is a copy, so this caller never claims to send the only one.
+            // A resend is a copy of the call, so this caller must not declare its call the only
+            // copy.
             let headers = [deadline, ("x-only-copy", "false")];
-            told(Some(text), &caller.notice(entry, text, &headers).await)
+            reported_call(Some(text), &caller.notice(entry, text, &headers).await)
         }
     }
 }
 
-async fn streamed(caller: &Caller, entry: std::net::SocketAddr, text: &str) -> Told {
-    let Ok(answer) = caller.pipeline_stream(entry, "explain", text).await else {
-        return Told {
+async fn send_streamed(caller: &Caller, entry: std::net::SocketAddr, text: &str) -> ReportedCall {
+    let Ok(response) = caller.pipeline_stream(entry, "explain", text).await else {
+        return ReportedCall {
             request: String::new(),
             key: None,
-            verdict: ReportedOutcome::Unknown,
+            outcome: ReportedOutcome::Unknown,
             reason: String::new(),
         };
     };
-    if let Some(problem) = answer.problem {
-        let verdict = ReportedOutcome::of_problem(&problem);
-        return Told {
+    if let Some(problem) = response.problem {
+        let outcome = ReportedOutcome::of_problem(&problem);
+        return ReportedCall {
             request: field(&problem, "request_id"),
             key: None,
-            verdict,
+            outcome,
             reason: field(&problem, "reason"),
         };
     }
-    let done = answer.done.expect("a completion event or a problem");
-    assert_eq!(answer.text, expected::explanation(text));
-    Told {
+    let done = response.done.expect("a stream ends with a `done` or a `problem` event");
+    assert_eq!(response.text, expected::explanation(text));
+    ReportedCall {
         request: field(&done, "request_id"),
         key: None,
-        verdict: ReportedOutcome::Completed,
+        outcome: ReportedOutcome::Completed,
         reason: String::new(),
     }
 }
 
-fn check_done(answer: &Result<ReceivedResponse, CallerError>, is_right: impl Fn(&Value) -> bool) {
-    let Ok(answer) = answer else { return };
-    assert!(answer.status >= 400 || is_right(&answer.body), "{}", answer.body);
+fn check_completed(
+    response: &Result<ReceivedResponse, CallerError>,
+    is_expected: impl Fn(&Value) -> bool,
+) {
+    let Ok(response) = response else { return };
+    assert!(response.status >= 400 || is_expected(&response.body), "{}", response.body);
 }
 
-fn told(key: Option<&str>, answer: &Result<ReceivedResponse, CallerError>) -> Told {
-    let body = answer.as_ref().map(|it| it.body.clone()).unwrap_or_default();
-    Told {
+fn reported_call(
+    key: Option<&str>,
+    response: &Result<ReceivedResponse, CallerError>,
+) -> ReportedCall {
+    let body = response.as_ref().map(|it| it.body.clone()).unwrap_or_default();
+    ReportedCall {
         request: field(&body, "request_id"),
         key: key.map(str::to_owned),
-        verdict: ReportedOutcome::of(answer),
+        outcome: ReportedOutcome::of(response),
         reason: field(&body, "reason"),
     }
 }
@@ -150,11 +163,11 @@
     value[name].as_str().unwrap_or_default().to_owned()
 }
 
-/// Provokes random faults until the callers have ended; returns their number.
-async fn disturb(stack: &mut Stack, working: &AtomicUsize) -> u32 {
+/// Injects random faults until all callers have finished; returns the number of faults.
+async fn inject_faults(stack: &mut Stack, active_callers: &AtomicUsize) -> u32 {
     let mut random = StdRng::seed_from_u64(SEED);
     let mut faults = 0;
-    while working.load(Ordering::SeqCst) > 0 {
+    while active_callers.load(Ordering::SeqCst) > 0 {
         faults += 1;
         let number = random.random_range(0..stack.upstreams.len());
         let normal = stack.upstreams[number].plan.switches.clone();
@@ -186,16 +199,22 @@
                 normal.clone()
             }
         };
-        let calm = Duration::from_millis(random.random_range(0..MAX_CALM_MS));
-        stack.set_upstream_switches(&stack.upstreams[number], &switched).await.expect("switches");
-        tokio::time::sleep(calm).await;
-        stack.set_upstream_switches(&stack.upstreams[number], &normal).await.expect("switches");
+        let fault_time = Duration::from_millis(random.random_range(0..MAX_FAULT_MS));
+        stack
+            .set_upstream_switches(&stack.upstreams[number], &switched)
+            .await
+            .expect("the switches are set");
+        tokio::time::sleep(fault_time).await;
+        stack
+            .set_upstream_switches(&stack.upstreams[number], &normal)
+            .await
+            .expect("the switches are set");
     }
     faults
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_refused_request_was_run() {
+async fn a_request_refused_with_not_run_has_not_run() {
     let mut plan = StackPlan::short(&[("encoders", 1), ("engines", 2), ("work-orders", 1)]);
     for pool in ["encoders", "engines", "work-orders"] {
         plan.change_pool_switches(pool, |it| {
@@ -206,31 +225,39 @@
     }
     let mut stack = Stack::start(plan).await.expect("the stack starts");
     let entries = [stack.entry(0), stack.entry(1)];
-    let working = Arc::new(AtomicUsize::new(CALLERS as usize));
+    let active_callers = Arc::new(AtomicUsize::new(CALLERS as usize));
     let mut callers = Vec::new();
     for number in 0..CALLERS {
-        let (caller, working) = (stack.caller.clone(), working.clone());
+        let (caller, active_callers) = (stack.caller.clone(), active_callers.clone());
         callers.push(tokio::spawn(async move {
-            let told = call(caller, entries, number).await;
-            working.fetch_sub(1, Ordering::SeqCst);
-            told
+            let reported = send_calls(caller, entries, number).await;
+            active_callers.fetch_sub(1, Ordering::SeqCst);
+            reported
         }));
     }
-    let (faults, told) = tokio::join!(disturb(&mut stack, &working), join_all(callers));
-    let calls = stack.calls().await.expect("the records of the upstreams");
+    let (faults, reported) =
+        tokio::join!(inject_faults(&mut stack, &active_callers), join_all(callers));
+    let calls = stack.calls().await.expect("logged calls of the upstreams");
     let mut counts = [0_u32; 4];
-    for told in told.into_iter().flat_map(|it| it.expect("the caller ends")) {
-        counts[told.verdict.clone() as usize] += 1;
-        let runs = calls.count_for_request(&told.request);
-        let key_runs = told.key.as_ref().map_or(0, |it| calls.count_for_key(it));
-        assert!(key_runs <= 1, "{:?} ran {key_runs} times", told.key);
-        if told.verdict != ReportedOutcome::NotRun {
+    for call in reported.into_iter().flat_map(|it| it.expect("the sending task does not panic")) {
+        counts[call.outcome.clone() as usize] += 1;
+        let runs = calls.count_for_request(&call.request);
+        let key_runs = call.key.as_ref().map_or(0, |it| calls.count_for_key(it));
+        assert!(key_runs <= 1, "the call with key {:?} ran {key_runs} times", call.key);
+        if call.outcome != ReportedOutcome::NotRun {
             continue;
         }
-        assert!(!told.request.is_empty(), "a refusal names its request");
-        assert_eq!(runs, 0, "{} {}", told.request, told.reason);
-        assert_eq!(key_runs, 0, "{:?} {}", told.key, told.reason);
+        assert!(!call.request.is_empty(), "a refusal contains the request ID");
+        assert_eq!(runs, 0, "request {}, refused with reason {}, ran", call.request, call.reason);
+        assert_eq!(
+            key_runs, 0,
+            "the call with key {:?}, refused with reason {}, ran",
+            call.key, call.reason
+        );
     }
-    println!("seed {SEED}: {faults} faults; done, not run, failed, unknown: {counts:?}");
-    assert!(counts[0] > 0 && counts[1] > 0, "some are done and some refused: {counts:?}");
+    println!("seed {SEED}: {faults} faults; completed, not run, failed, unknown: {counts:?}");
+    assert!(
+        counts[0] > 0 && counts[1] > 0,
+        "some requests complete and some are refused: {counts:?}"
+    );
 }
--- a/crates/fakes/tests/platform_api.rs
+++ b/crates/fakes/tests/platform_api.rs
@@ -1,4 +1,4 @@
-//! The platform client against the stand-in.
+//! Tests of the platform client against the platform stand-in.
 
 use std::sync::Arc;
 
@@ -105,7 +105,7 @@
 }
 
 #[tokio::test]
-async fn an_old_version_is_gone() {
+async fn a_watch_from_a_compacted_version_fails_as_gone() {
     let (platform, client) = start().await;
     client.create(Kind::Leases, "a", &spec("one")).await.unwrap();
     platform.compact();
@@ -116,7 +116,7 @@
 }
 
 #[tokio::test]
-async fn a_lost_answer_is_told_apart_from_a_refusal() {
+async fn a_lost_response_is_distinguished_from_a_refusal() {
     let (platform, client) = start().await;
     platform.set_switches(PlatformSwitches { lost_answers: 1, ..PlatformSwitches::default() });
     let lost = client.create(Kind::Claims, "a", &spec("one")).await;
@@ -130,7 +130,7 @@
     });
     let refused = client.create(Kind::Claims, "b", &spec("one")).await;
     let Err(PlatformError::Unavailable { retry_after_ms, .. }) = refused else {
-        panic!("503 with Retry-After had no effect")
+        panic!("a write that got 503 with Retry-After is reported as unavailable")
     };
     assert_eq!(retry_after_ms, Some(1_000));
 
@@ -146,7 +146,7 @@
 }
 
 #[tokio::test]
-async fn a_refused_connection_had_no_effect() {
+async fn a_write_without_a_connection_is_reported_as_unavailable() {
     let (platform, client) = start().await;
     platform.close().await;
     let write = client.create(Kind::Claims, "a", &spec("one")).await;
@@ -154,7 +154,7 @@
 }
 
 #[tokio::test]
-async fn a_stored_configuration_survives_the_json_of_the_platform() {
+async fn a_stored_configuration_is_read_back_unchanged() {
     let (platform, client) = start().await;
     let text = "[[customer]]\nname = \"acme\"\n";
     let record =
@@ -174,7 +174,7 @@
     let large = spec(&"x".repeat(MAX_VALUE_BYTES));
     let refused = client.create(Kind::Claims, "a", &large).await;
     let Err(PlatformError::TooLarge { object, limit_bytes, .. }) = refused else {
-        panic!("a value above the limit is not sent")
+        panic!("a value above the limit is refused")
     };
     assert_eq!((object.as_str(), limit_bytes), ("production/claims/a", MAX_VALUE_BYTES));
     assert_eq!(platform.counters().writes, 0);
@@ -182,7 +182,7 @@
 }
 
 #[tokio::test]
-async fn a_name_that_does_not_fit_into_a_path_is_refused() {
+async fn a_name_that_is_not_valid_in_a_path_is_refused_before_it_is_sent() {
     let (platform, client) = start().await;
     for name in ["", "../current", "Current", "a?b", "-a"] {
         let read = client.get::<Spec>(Kind::Claims, name).await;
@@ -193,7 +193,7 @@
 }
 
 #[tokio::test]
-async fn the_platform_limits_the_rate_of_writes() {
+async fn writes_above_the_rate_limit_of_the_platform_are_refused() {
     let settings =
         FakePlatformSettings { writes_per_second: 1.0, ..FakePlatformSettings::default() };
     let platform = FakePlatform::start(settings).await.unwrap();
@@ -213,7 +213,7 @@
 }
 
 #[tokio::test]
-async fn the_call_budget_refuses_before_it_sends() {
+async fn a_call_beyond_the_call_budget_is_refused_before_it_is_sent() {
     let platform = FakePlatform::start(FakePlatformSettings::default()).await.unwrap();
     let budget =
         BudgetSettings { writes_per_second: 0.001, max_wait_ms: 1, ..BudgetSettings::default() };
@@ -229,7 +229,7 @@
 }
 
 #[tokio::test]
-async fn the_instance_list_lags_and_other_kinds_do_not() {
+async fn the_instance_list_lags_behind_and_other_lists_do_not() {
     let (platform, client) = start().await;
     client.create(Kind::Instances, "early", &spec("one")).await.unwrap();
     let lag = PlatformSwitches { instances_lag_ms: 3_600_000, ..PlatformSwitches::default() };
@@ -244,7 +244,7 @@
 }
 
 #[tokio::test]
-async fn switches_and_counters_are_reached_over_http() {
+async fn switches_and_counters_are_available_over_http() {
     let (platform, _) = start().await;
     let http = legacy::Client::builder(TokioExecutor::new()).build_http::<Full<Bytes>>();
     let base = format!("http://{}/fake", platform.address());
@@ -258,9 +258,9 @@
     };
     assert_eq!(platform.switches(), expected);
 
-    // The admin path answers during an outage, so that a harness can end it.
-    let answer = http.get(format!("{base}/counters").parse().unwrap()).await.unwrap();
-    let body = answer.into_body().collect().await.unwrap().to_bytes();
+    // The admin API remains available during an outage, so that a harness can end it.
+    let response = http.get(format!("{base}/counters").parse().unwrap()).await.unwrap();
+    let body = response.into_body().collect().await.unwrap().to_bytes();
     assert_eq!(serde_json::from_slice::<Counters>(&body).unwrap(), platform.counters());
 
     let unknown = r#"{ "colour": 1 }"#;
--- a/crates/fakes/tests/platform_down.rs
+++ b/crates/fakes/tests/platform_down.rs
@@ -1,4 +1,5 @@
-//! The platform is down for long: what needs it is refused at once, the rest goes on.
+//! During a long outage of the platform, calls that need it are refused at once and all others are
+//! served.
 
 use std::time::Duration;
 
@@ -13,52 +14,58 @@
     },
 };
 
-/// Requests of each kind in each form of outage.
+/// Number of requests of each kind during each form of outage.
 const REQUESTS: usize = 10;
-/// Deadline that the document declares for the service.
+/// Deadline of the service in the environment document.
 const DECLARED_DEADLINE: Duration = Duration::from_secs(10);
-/// Resends of a refused call once the platform is back.
+/// Highest number of resends of a refused call after the outage.
 const RESENDS: usize = 100;
 
-/// Keeps one stack at a time on the machine.
+/// Lets the tests run one stack at a time.
 static ONE_STACK: Mutex<()> = Mutex::const_new(());
 
-async fn book(stack: &Stack, key: &str) -> ReceivedResponse {
+/// Sends a non-idempotent call, which needs a claim on the platform.
+async fn send_notice(stack: &Stack, key: &str) -> ReceivedResponse {
     let caller = Caller::new("lone-star");
     let headers = [("idempotency-key", key)];
     let path = "/v1/services/work-orders/notices";
     let call = caller.send(stack.entry(0), "POST", path, &headers, r#"{"riser":7}"#);
-    timeout(DECLARED_DEADLINE, call).await.expect("an answer in time").expect("an answer")
+    timeout(DECLARED_DEADLINE, call)
+        .await
+        .expect("a response within the deadline")
+        .expect("a response")
 }
 
-async fn runs(stack: &Stack, key: &str) -> u32 {
+async fn run_count(stack: &Stack, key: &str) -> u32 {
     let mut runs = 0;
     for pair in &stack.upstreams {
-        let record = stack.record(pair).await.expect("a record");
+        let record = stack.record(pair).await.expect("the record of the upstream");
         runs += record.runs_by_key.get(key).copied().unwrap_or_default();
     }
     runs
 }
 
-/// Resends a call until its answer comes.
-async fn book_until_answered(stack: &Stack, key: &str) {
+/// Sends a call repeatedly until it completes.
+async fn send_notice_until_completed(stack: &Stack, key: &str) {
     let mut last = None;
     for _ in 0..RESENDS {
-        let answer = book(stack, key).await;
-        if answer.status == 200 {
+        let response = send_notice(stack, key).await;
+        if response.status == 200 {
             return;
         }
-        last = Some(answer.body);
+        last = Some(response.body);
         tokio::time::sleep(Duration::from_millis(100)).await;
     }
-    panic!("no answer, last {last:?}");
+    panic!("the call did not complete, last response: {last:?}");
 }
 
-async fn serve_without_platform(outage: Outage) {
+/// Checks what an entry serves and refuses during an outage, and that a refused call runs once
+/// after it.
+async fn check_serving_during_outage(outage: Outage) {
     let _one = ONE_STACK.lock().await;
     let plan = StackPlan::small(&["north"], &["north"]);
     let stack = Stack::start(plan).await.expect("the stack starts");
-    stack.set_outage(Some(outage)).await.expect("an outage");
+    stack.set_outage(Some(outage)).await.expect("the outage starts");
     let caller = Caller::new("lone-star");
     for number in 0..REQUESTS {
         let input = format!("question {number}");
@@ -68,38 +75,38 @@
     }
     for number in 0..2 {
         let key = format!("notice-{number}");
-        let refused = book(&stack, &key).await;
+        let refused = send_notice(&stack, &key).await;
         assert_eq!(refused.status, 503, "{}", refused.body);
         assert!(refused.headers.contains_key("retry-after"));
-        // Another copy of the call may be claimed where nobody can look now.
+        // The entry cannot read the claims now, so another copy of the call may hold a claim.
         let outcome = refused.body["outcome"].as_str().expect("an outcome");
         assert!(["not_run", "unknown"].contains(&outcome), "{}", refused.body);
-        assert_eq!(runs(&stack, &key).await, 0);
+        assert_eq!(run_count(&stack, &key).await, 0);
     }
-    stack.set_outage(None).await.expect("the platform is back");
-    book_until_answered(&stack, "notice-0").await;
-    // A copy that comes before the outcome is recorded is told that it is not known.
-    book_until_answered(&stack, "notice-0").await;
-    assert_eq!(runs(&stack, "notice-0").await, 1);
-    stack.close().await.expect("a clean stop");
+    stack.set_outage(None).await.expect("the outage ends");
+    send_notice_until_completed(&stack, "notice-0").await;
+    // A copy that arrives before the outcome is recorded gets the outcome `unknown`.
+    send_notice_until_completed(&stack, "notice-0").await;
+    assert_eq!(run_count(&stack, "notice-0").await, 1);
+    stack.close().await.expect("all processes exit with success");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_platform_refuses() {
-    serve_without_platform(Outage::Unavailable).await;
+async fn calls_without_claims_are_served_while_the_platform_refuses() {
+    check_serving_during_outage(Outage::Unavailable).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_platform_answers_with_errors() {
-    serve_without_platform(Outage::Error).await;
+async fn calls_without_claims_are_served_while_the_platform_returns_errors() {
+    check_serving_during_outage(Outage::Error).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_platform_closes_connections() {
-    serve_without_platform(Outage::Reset).await;
+async fn calls_without_claims_are_served_while_the_platform_closes_connections() {
+    check_serving_during_outage(Outage::Reset).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn the_platform_does_not_answer() {
-    serve_without_platform(Outage::Hang).await;
+async fn calls_without_claims_are_served_while_the_platform_does_not_respond() {
+    check_serving_during_outage(Outage::Hang).await;
 }
--- a/crates/fakes/tests/poison.rs
+++ b/crates/fakes/tests/poison.rs
@@ -1,4 +1,5 @@
-//! A request that crashes each upstream that runs it is refused after two of them, and it alone.
+//! A request that crashes every upstream that runs it is quarantined after two crashes; other
+//! requests are not affected.
 
 use std::{
     net::SocketAddr,
@@ -13,38 +14,39 @@
 use serde_json::Value;
 use yuccatrail_fakes::stack::{caller::Caller, expected, plan::StackPlan, run::Stack};
 
-/// Times that the request is sent.
-const RESENDS: usize = 5;
-/// Upstreams that it may cost.
-const MAX_LOST: usize = 2;
-/// Callers of other requests.
-const NEIGHBOURS: usize = 4;
+/// Number of times that the request is sent.
+const SENDS: usize = 5;
+/// Highest number of upstreams that it may crash.
+const MAX_CRASHES: usize = 2;
+/// Number of callers that send other requests.
+const OTHER_CALLERS: usize = 4;
 /// Time between two checks for crashed upstreams.
 const CHECK_INTERVAL: Duration = Duration::from_millis(5);
-/// Text that crashes an upstream.
-const MARKER: &str = "poison-marker";
+/// Text that crashes an upstream which receives it.
+const CRASH_MARKER: &str = "poison-marker";
 /// Duration of a call, in milliseconds.
 const CALL_MS: u64 = 20;
 
-/// Sends requests to the poisoned pool until the poison is settled; returns their number.
-async fn neighbour(
+/// Sends other requests to the same pool until the crashing one was sent for the last time; returns
+/// their number.
+async fn send_other_requests(
     caller: Caller,
     entry: SocketAddr,
     name: usize,
     streams: bool,
-    settled: Arc<AtomicBool>,
+    finished: Arc<AtomicBool>,
 ) -> usize {
     let mut count = 0;
-    while !settled.load(Ordering::SeqCst) {
-        let text = format!("neighbour {name} {count}");
+    while !finished.load(Ordering::SeqCst) {
+        let text = format!("other request {name} {count}");
         if streams {
-            let answer = caller.pipeline(entry, "explain", &text).await.expect("an answer");
-            assert_eq!(answer.status, 200, "{text}: {}", answer.body);
-            assert_eq!(answer.body["output"]["text"], expected::explanation(&text));
+            let response = caller.pipeline(entry, "explain", &text).await.expect("a response");
+            assert_eq!(response.status, 200, "{text}: {}", response.body);
+            assert_eq!(response.body["output"]["text"], expected::explanation(&text));
         } else {
-            let answer = caller.search(entry, &text, &[]).await.expect("an answer");
-            assert_eq!(answer.status, 200, "{text}: {}", answer.body);
-            assert_eq!(answer.body, expected::search(&text));
+            let response = caller.search(entry, &text, &[]).await.expect("a response");
+            assert_eq!(response.status, 200, "{text}: {}", response.body);
+            assert_eq!(response.body, expected::search(&text));
         }
         count += 1;
     }
@@ -53,88 +55,100 @@
 
 /// Replaces every upstream that has crashed; returns their number.
 async fn replace_crashed(stack: &mut Stack) -> usize {
-    let mut lost = 0;
+    let mut crashes = 0;
     tokio::time::sleep(CHECK_INTERVAL).await;
     for number in 0..stack.upstreams.len() {
         if stack.upstreams[number].upstream.has_ended() {
             stack.replace_upstream(number).await.expect("the upstream starts");
-            lost += 1;
+            crashes += 1;
         }
     }
-    lost
+    crashes
 }
 
-async fn start(pools: &[(&str, usize)], poisoned: &str) -> Stack {
+async fn start(pools: &[(&str, usize)], crashing_pool: &str) -> Stack {
     let mut plan = StackPlan::short(pools);
-    plan.change_pool_switches(poisoned, |it| {
+    plan.change_pool_switches(crashing_pool, |it| {
         it.delay_ms = CALL_MS;
-        it.crash_on = Some(MARKER.to_owned());
+        it.crash_on = Some(CRASH_MARKER.to_owned());
     });
     Stack::start(plan).await.expect("the stack starts")
 }
 
-/// Sends the poison through both entries in turn; returns the last problem and the lost upstreams.
-async fn resend(
+/// Sends the crashing request through alternate entries and replaces crashed upstreams; returns the
+/// last problem and the number of crashes.
+async fn send_repeatedly(
     stack: &mut Stack,
     send: impl AsyncFn(Caller, SocketAddr) -> Value,
 ) -> (Value, usize) {
-    let mut lost = 0;
+    let mut crashes = 0;
     let mut last = Value::Null;
-    for number in 0..RESENDS {
+    for number in 0..SENDS {
         let call = send(stack.caller.clone(), stack.entry(number % 2));
         let mut call = std::pin::pin!(call);
         last = loop {
             match select(call, std::pin::pin!(replace_crashed(stack))).await {
-                Either::Left((answer, replacing)) => {
-                    lost += replacing.await;
-                    break answer;
+                Either::Left((response, replacing)) => {
+                    crashes += replacing.await;
+                    break response;
                 }
                 Either::Right((count, pending)) => {
-                    lost += count;
+                    crashes += count;
                     call = pending;
                 }
             }
         };
-        lost += replace_crashed(stack).await;
+        crashes += replace_crashed(stack).await;
     }
-    (last, lost)
+    (last, crashes)
 }
 
-/// Sends the poison among other requests and checks what it costs.
-async fn check(mut stack: Stack, streams: bool, send: impl AsyncFn(Caller, SocketAddr) -> Value) {
-    let settled = Arc::new(AtomicBool::new(false));
-    let mut neighbours = Vec::new();
-    for name in 0..NEIGHBOURS {
+/// Sends the crashing request among others; checks that it is quarantined and the others complete.
+async fn check_quarantine(
+    mut stack: Stack,
+    streams: bool,
+    send: impl AsyncFn(Caller, SocketAddr) -> Value,
+) {
+    let finished = Arc::new(AtomicBool::new(false));
+    let mut other_callers = Vec::new();
+    for name in 0..OTHER_CALLERS {
         let (caller, entry) = (stack.caller.clone(), stack.entry(name % 2));
-        neighbours.push(tokio::spawn(neighbour(caller, entry, name, streams, settled.clone())));
+        other_callers.push(tokio::spawn(send_other_requests(
+            caller,
+            entry,
+            name,
+            streams,
+            finished.clone(),
+        )));
     }
-    let (last, lost) = resend(&mut stack, send).await;
-    settled.store(true, Ordering::SeqCst);
-    for neighbour in neighbours {
-        assert!(neighbour.await.expect("no neighbour is harmed") > 0);
+    let (last, crashes) = send_repeatedly(&mut stack, send).await;
+    finished.store(true, Ordering::SeqCst);
+    for other_caller in other_callers {
+        assert!(other_caller.await.expect("all other requests complete") > 0);
     }
     assert_eq!(last["reason"], "quarantined", "{last}");
-    assert!((1..=MAX_LOST).contains(&lost), "{lost} upstreams lost");
+    assert!((1..=MAX_CRASHES).contains(&crashes), "{crashes} upstreams crashed");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_poisonous_stream_costs_two_upstreams_and_no_neighbour() {
+async fn a_streamed_request_that_crashes_upstreams_is_quarantined_after_two_crashes() {
     let stack = start(&[("encoders", 1), ("engines", 3)], "engines").await;
-    check(stack, true, async |caller, entry| {
-        let answer = caller.pipeline_stream(entry, "explain", MARKER).await.expect("an answer");
-        assert_eq!(answer.done, None);
-        answer.problem.expect("a problem")
+    check_quarantine(stack, true, async |caller, entry| {
+        let response =
+            caller.pipeline_stream(entry, "explain", CRASH_MARKER).await.expect("a response");
+        assert_eq!(response.done, None);
+        response.problem.expect("a problem")
     })
     .await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn a_poisonous_call_costs_two_upstreams_and_no_neighbour() {
+async fn a_service_call_that_crashes_upstreams_is_quarantined_after_two_crashes() {
     let stack = start(&[("work-orders", 4)], "work-orders").await;
-    check(stack, false, async |caller, entry| {
-        let answer = caller.search(entry, MARKER, &[]).await.expect("an answer");
-        assert!(answer.status >= 400);
-        answer.body
+    check_quarantine(stack, false, async |caller, entry| {
+        let response = caller.search(entry, CRASH_MARKER, &[]).await.expect("a response");
+        assert!(response.status >= 400);
+        response.body
     })
     .await;
 }
--- a/crates/fakes/tests/scenario_checks.rs
+++ b/crates/fakes/tests/scenario_checks.rs
@@ -1,4 +1,4 @@
-//! Checks of scenarios recognize each kind of violation.
+//! The scenario checks detect each kind of violation.
 
 use yuccatrail_fakes::{
     load::{
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn nothing_is_found_where_nothing_is_wrong() {
+fn no_violation_is_reported_for_a_correct_run() {
     let mut totals = Totals::default();
     totals.runs_by_key.insert("key-1".to_owned(), 1);
     totals.runs_by_request.insert("request-2".to_owned(), 2);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn doubled_run_is_found() {
+fn a_call_that_ran_twice_is_reported() {
     let mut totals = Totals::default();
     totals.runs_by_key.insert("key-1".to_owned(), 2);
     let found = violations(&tally_of(CallOutcome::Correct), &totals, &Driven::default());
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn untrue_not_run_is_found() {
+fn a_request_refused_with_not_run_that_ran_is_reported() {
     let mut totals = Totals::default();
     totals.runs_by_request.insert("request-1".to_owned(), 1);
     let found = violations(&tally_of(refused("not_run")), &totals, &Driven::default());
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn wrong_and_broken_answers_are_found() {
+fn wrong_and_broken_responses_are_reported() {
     for verdict in [CallOutcome::Wrong("text".to_owned()), CallOutcome::Broken("cut".to_owned())] {
         let found = violations(&tally_of(verdict), &Totals::default(), &Driven::default());
         assert!(!found.is_empty());
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn overloads_and_calls_in_a_data_centre_that_is_out_are_found() {
+fn overloads_and_calls_in_a_data_centre_that_is_out_are_reported() {
     let totals = Totals { overloads: 1, ..Totals::default() };
     assert_eq!(violations(&tally_of(CallOutcome::Correct), &totals, &Driven::default()).len(), 1);
     let driven = Driven { calls_while_out: 1, ..Driven::default() };
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn right_answer_after_the_deadline_is_late() {
+fn a_correct_response_after_the_deadline_counts_as_late() {
     let mut tally = Tally::new(DEADLINES);
     tally.add(observation(CallOutcome::Correct, 999_999));
     tally.add(observation(CallOutcome::Correct, 1_000_001));
--- a/crates/fakes/tests/tap.rs
+++ b/crates/fakes/tests/tap.rs
@@ -1,4 +1,4 @@
-//! The forwarding port counts what passes.
+//! The forwarding port counts the bytes and packets that pass through it.
 
 use std::io;
 
@@ -26,8 +26,8 @@
 }
 
 #[test]
-fn headers_count_for_each_packet() {
+fn wire_bytes_include_a_header_for_each_packet() {
     let traffic = Traffic { to_bytes: 100, from_bytes: 3_000, to_messages: 1, from_messages: 1 };
-    // One packet with the question, three with the answer, one with its acknowledgement.
+    // One packet with the request, three with the response and one with its acknowledgement.
     assert_eq!(traffic.wire_bytes(), 3_100 + 5 * PACKET_HEADER_BYTES);
 }
--- a/crates/fakes/tests/leaving.rs
+++ b/crates/fakes/tests/upstream_leaving.rs
@@ -1,4 +1,4 @@
-//! A leaving upstream gets no new work and finishes what it has.
+//! A leaving upstream gets no new work and completes the calls in progress.
 
 use std::{net::SocketAddr, time::Duration};
 
@@ -12,38 +12,40 @@
     traffic::{ResponseCheck, SteadyTraffic, is_complete_draft, read_order},
 };
 
-/// Time after acceptance from which on there is no new work.
+/// Time after acceptance of the change from which on no call may start at the upstream.
 const NO_NEW_WORK_AFTER: Duration = Duration::from_secs(3);
-/// Time for which the calls are then watched.
-const WATCH_TIME: Duration = Duration::from_secs(2);
+/// Time after that during which the calls are counted.
+const OBSERVATION_TIME: Duration = Duration::from_secs(2);
 /// Time between two requests.
 const INTERVAL: Duration = Duration::from_millis(20);
-/// Requests that wait for two upstreams with one call at a time.
-const QUEUED: usize = 16;
+/// Number of requests for two upstreams that each run one call at a time.
+const QUEUED_REQUESTS: usize = 16;
 
-/// Keeps one stack at a time on the machine.
+/// Lets the tests run one stack at a time.
 static ONE_STACK: Mutex<()> = Mutex::const_new(());
 
-/// How an upstream comes to leave.
+/// What makes an upstream leave.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Cause {
-    /// An operator's command.
+    /// An operator command.
     Command,
-    /// The state in the platform's instance list.
-    List,
+    /// Its state in the instance list of the platform.
+    InstanceList,
 }
 
 impl Cause {
     async fn apply(self, stack: &Stack, name: &str) {
         match self {
             Self::Command => stack.run_accepted_command(&["upstream", "leave", name]).await,
-            Self::List => stack.set_listed_state(name, InstanceState::Leaving).await,
+            Self::InstanceList => stack.set_listed_state(name, InstanceState::Leaving).await,
         }
-        .expect("accepted");
+        .expect("the change is accepted");
     }
 }
 
-async fn leave(cause: Cause) {
+/// Makes all upstreams in `north` leave under load. A stream that runs there must complete, and no
+/// other call may start there.
+async fn check_leaving_under_load(cause: Cause) {
     let _one = ONE_STACK.lock().await;
     let mut plan = StackPlan::small(&["north", "south"], &["north", "south"]);
     plan.upstreams.retain(|it| it.name != "engines-south");
@@ -52,73 +54,79 @@
     let entries: Vec<SocketAddr> = stack.entries.iter().map(|it| it.address).collect();
     let caller = Caller::new("lone-star");
     let streaming = caller.pipeline_stream(entries[0], "draft", "long dispute");
-    let operated = async {
+    let changes = async {
         let engine = stack.upstream_index("engines-north").expect("an engine");
         stack.wait_calls_running(engine, 1).await.expect("the stream runs in north");
         let traffic = SteadyTraffic::start(caller.clone(), entries.clone(), INTERVAL);
-        stack.wait_more_calls_in("north", 20).await.expect("work in north");
+        stack.wait_more_calls_in("north", 20).await.expect("calls in north");
         for name in ["engines-north", "work-orders-north"] {
             cause.apply(&stack, name).await;
         }
         tokio::time::sleep(NO_NEW_WORK_AFTER).await;
         let north = stack.calls_in("north").await.unwrap();
-        tokio::time::sleep(WATCH_TIME).await;
+        tokio::time::sleep(OBSERVATION_TIME).await;
         assert_eq!(stack.calls_in("north").await.unwrap(), north);
         traffic.close().await
     };
-    let (streamed, tally) = tokio::join!(streaming, operated);
+    let (streamed, checked) = tokio::join!(streaming, changes);
     assert!(is_complete_draft(&streamed.expect("a stream"), "long dispute"));
-    tally.check(&stack).await.expect("records");
-    stack.close().await.expect("a clean stop");
+    checked.check(&stack).await.expect("the records of the upstreams");
+    stack.close().await.expect("all processes exit with success");
 }
 
-async fn leave_with_a_queue(cause: Cause) {
+/// Makes an upstream leave while calls are queued there. None of these may start there, and each
+/// must complete or be refused.
+async fn check_leaving_with_queue(cause: Cause) {
     let _one = ONE_STACK.lock().await;
     let mut plan = StackPlan::small(&["north"], &["north", "south"]).only_pool("work-orders");
     let limits = "concurrency = 1\ncold_concurrency = 1";
     plan.document = plan.document.replace("concurrency = 32\ncold_concurrency = 2", limits);
-    // Without the change the queue lasts beyond the time for which the calls are watched.
+    // If the upstream did not leave, its queue would last beyond the observation time. The deadline
+    // leaves time for that.
     plan.document = plan.document.replace("deadline_ms = 10000", "deadline_ms = 30000");
     plan.change_pool_switches("work-orders", |it| it.delay_ms = 800);
     let stack = Stack::start(plan).await.expect("the stack starts");
     let (caller, entry) = (Caller::new("lone-star"), stack.entry(0));
-    let requests = join_all((0..QUEUED).map(|it| read_order(&caller, entry, it)));
-    let left = async {
+    let requests = join_all((0..QUEUED_REQUESTS).map(|it| read_order(&caller, entry, it)));
+    let leaving = async {
         let has_queue = |status: &serde_json::Value| {
             let mut upstreams = status["upstreams"].as_array().into_iter().flatten();
             let queued = |it: &serde_json::Value| it["load"]["queued"].as_u64() > Some(2);
             upstreams.any(|it| it["name"] == "work-orders-north" && queued(it))
         };
-        stack.wait_status(entry, "a queue", has_queue).await.expect("a queue");
+        stack
+            .wait_status(entry, "calls in the queue of the upstream", has_queue)
+            .await
+            .expect("the upstream has a queue");
         cause.apply(&stack, "work-orders-north").await;
         tokio::time::sleep(NO_NEW_WORK_AFTER).await;
         let north = stack.calls_in("north").await.unwrap();
-        tokio::time::sleep(WATCH_TIME).await;
+        tokio::time::sleep(OBSERVATION_TIME).await;
         assert_eq!(stack.calls_in("north").await.unwrap(), north);
     };
-    let (verdicts, ()) = tokio::join!(requests, left);
-    for verdict in verdicts {
-        assert!(!matches!(verdict, ResponseCheck::Unexpected(_)), "{verdict:?}");
+    let (checks, ()) = tokio::join!(requests, leaving);
+    for check in checks {
+        assert!(!matches!(check, ResponseCheck::Unexpected(_)), "{check:?}");
     }
-    stack.close().await.expect("a clean stop");
+    stack.close().await.expect("all processes exit with success");
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_queued_work_after_the_operators_command() {
-    leave_with_a_queue(Cause::Command).await;
+async fn queued_calls_do_not_start_after_an_operator_command() {
+    check_leaving_with_queue(Cause::Command).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_queued_work_after_the_instance_list_says_so() {
-    leave_with_a_queue(Cause::List).await;
+async fn queued_calls_do_not_start_after_a_change_of_the_instance_list() {
+    check_leaving_with_queue(Cause::InstanceList).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_new_work_after_the_operators_command() {
-    leave(Cause::Command).await;
+async fn an_upstream_gets_no_new_work_after_an_operator_command() {
+    check_leaving_under_load(Cause::Command).await;
 }
 
 #[tokio::test(flavor = "multi_thread")]
-async fn no_new_work_after_the_instance_list_says_so() {
-    leave(Cause::List).await;
+async fn an_upstream_gets_no_new_work_after_a_change_of_the_instance_list() {
+    check_leaving_under_load(Cause::InstanceList).await;
 }
--- a/crates/fakes/tests/watcher.rs
+++ b/crates/fakes/tests/watcher.rs
@@ -1,4 +1,5 @@
-//! The watcher against the stand-in: outages, forgotten history, resume and silence.
+//! Tests of the watcher against the platform stand-in: resumption, outages, a compacted history and
+//! silent watches.
 
 use std::time::Duration;
 
@@ -10,7 +11,7 @@
     BackoffSettings, Client, ClientSettings, Kind, Object, WatchUpdate, Watcher, WatcherSettings,
 };
 
-/// Longest wait for one update; only a failing test gets there.
+/// Longest wait for an update; it only elapses when a test fails.
 const UPDATE_TIMEOUT: Duration = Duration::from_secs(20);
 
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
@@ -58,7 +59,7 @@
     async fn next_snapshot(&mut self) -> Vec<Object<Spec>> {
         match self.next().await {
             WatchUpdate::Snapshot(objects) => objects,
-            other => panic!("a snapshot instead of {other:?}"),
+            other => panic!("expected a snapshot, got {other:?}"),
         }
     }
 
@@ -69,7 +70,7 @@
 }
 
 #[tokio::test]
-async fn lists_then_delivers_changes_over_several_watches_without_a_gap() {
+async fn changes_are_delivered_across_several_watches_without_a_gap() {
     let mut fixture = Fixture::start(60_000).await;
     assert_eq!(fixture.next_snapshot().await.len(), 1);
     let mut written = Vec::new();
@@ -86,7 +87,7 @@
 }
 
 #[tokio::test]
-async fn resumes_after_each_kind_of_outage() {
+async fn the_watch_resumes_after_each_kind_of_outage() {
     let mut fixture = Fixture::start(60_000).await;
     fixture.next_snapshot().await;
     let outages = [Outage::Unavailable, Outage::Error, Outage::Reset, Outage::Hang];
@@ -104,14 +105,14 @@
 }
 
 #[tokio::test]
-async fn lists_again_when_the_platform_forgot_the_history() {
+async fn the_watcher_relists_when_the_history_was_compacted() {
     let mut fixture = Fixture::start(60_000).await;
     fixture.next_snapshot().await;
     let down = PlatformSwitches { outage: Some(Outage::Reset), ..PlatformSwitches::default() };
     fixture.platform.set_switches(down);
     assert!(matches!(fixture.next().await, WatchUpdate::Unavailable(_)));
 
-    // Another client writes while the watcher sees nothing but failures.
+    // An object is written while the watcher gets no events.
     fixture
         .platform
         .set_switches(PlatformSwitches { silent_watches: true, ..PlatformSwitches::default() });
@@ -123,14 +124,16 @@
     if update == WatchUpdate::Available {
         update = fixture.next().await;
     }
-    let WatchUpdate::Snapshot(objects) = update else { panic!("a snapshot instead of {update:?}") };
+    let WatchUpdate::Snapshot(objects) = update else {
+        panic!("expected a snapshot, got {update:?}")
+    };
     assert!(objects.contains(&created));
     assert_eq!(objects.len(), 2);
     fixture.close().await;
 }
 
 #[tokio::test]
-async fn lists_again_when_watches_stay_silent() {
+async fn the_watcher_relists_when_its_watch_stays_silent() {
     let mut fixture = Fixture::start(500).await;
     fixture.next_snapshot().await;
     fixture
@@ -143,11 +146,11 @@
             return;
         }
     }
-    panic!("a later list shows the change");
+    panic!("no list contained the change");
 }
 
 #[tokio::test]
-async fn stops_when_its_consumer_is_gone() {
+async fn the_watcher_stops_when_its_receiver_is_closed() {
     let mut fixture = Fixture::start(60_000).await;
     fixture.next_snapshot().await;
     fixture.updates.close();
--- a/crates/fakes/tests/watcher_fuzz.rs
+++ b/crates/fakes/tests/watcher_fuzz.rs
@@ -1,4 +1,5 @@
-//! Fuzzes the watcher: whatever fails on the way, its consumer ends with what the platform holds.
+//! Fuzz test of the watcher: whichever faults occur, the consumer ends with the objects that the
+//! platform holds.
 
 use std::{
     collections::BTreeMap,
@@ -24,25 +25,26 @@
 const CASES: u32 = 16;
 const ENVIRONMENT: &str = "production";
 
-/// Time after each event in which the watcher may notice it.
+/// Time after each event in which the watcher can react to it.
 const EVENT_INTERVAL: Duration = Duration::from_millis(5);
 
-/// Checks of the final state before it counts as never reached, and the time between two.
+/// Number of checks after which a condition counts as not reached.
 const CHECKS: u32 = 1_000;
+/// Time between two of these checks.
 const CHECK_INTERVAL: Duration = Duration::from_millis(10);
 
 #[derive(Clone, Debug)]
 enum Event {
     Put(u8, u64),
     Remove(u8),
-    Fail(Outage),
-    Silence,
-    Heal,
+    StartOutage(Outage),
+    SilenceWatches,
+    ClearFaults,
     Compact,
     Wait(u64),
 }
 
-/// What the platform holds: numbers by name.
+/// Objects that the platform holds: numbers by name.
 type Model = BTreeMap<String, u64>;
 
 struct Events;
@@ -65,9 +67,9 @@
         prop_oneof![
             10 => (0..3_u8, any::<u64>()).prop_map(|(name, number)| Event::Put(name, number)),
             3 => (0..3_u8).prop_map(Event::Remove),
-            3 => outage.prop_map(Event::Fail),
-            1 => Just(Event::Silence),
-            5 => Just(Event::Heal),
+            3 => outage.prop_map(Event::StartOutage),
+            1 => Just(Event::SilenceWatches),
+            5 => Just(Event::ClearFaults),
             1 => Just(Event::Compact),
             2 => (1..60_u64).prop_map(Event::Wait),
         ]
@@ -92,7 +94,7 @@
     format!("object-{name}")
 }
 
-/// What the consumer holds: versions and numbers by name.
+/// Objects that the consumer holds: versions and numbers by name.
 type Replica = BTreeMap<String, (u64, u64)>;
 
 struct WatcherTest {
@@ -116,7 +118,7 @@
     }
 
     fn apply(mut test: Self, model: &Model, event: Event) -> Self {
-        let fail = |outage| {
+        let set_outage = |outage| {
             test.platform.set_switches(PlatformSwitches { outage, ..PlatformSwitches::default() })
         };
         match event {
@@ -127,13 +129,13 @@
             Event::Remove(name) => {
                 test.platform.remove(Kind::Leases, ENVIRONMENT, &object_name(name));
             }
-            Event::Fail(outage) => fail(Some(outage)),
-            Event::Silence => {
+            Event::StartOutage(outage) => set_outage(Some(outage)),
+            Event::SilenceWatches => {
                 let silent =
                     PlatformSwitches { silent_watches: true, ..PlatformSwitches::default() };
                 test.platform.set_switches(silent);
             }
-            Event::Heal => fail(None),
+            Event::ClearFaults => set_outage(None),
             Event::Compact => test.platform.compact(),
             Event::Wait(ms) => std::thread::sleep(Duration::from_millis(ms)),
         }
@@ -153,7 +155,7 @@
     }
 }
 
-/// Waits until a condition holds, or too long.
+/// Waits until a condition holds, at most for [`CHECKS`] checks.
 fn wait_until(condition: impl Fn() -> bool) {
     for _ in 0..CHECKS {
         if condition() {
@@ -196,13 +198,13 @@
             WatchUpdate::Snapshot(objects) => {
                 let mut listed = Replica::new();
                 for object in objects {
-                    take(&mut listed, &replica, object);
+                    store_object(&mut listed, &replica, object);
                 }
                 *replica = listed;
             }
             WatchUpdate::Changed(object) => {
                 let held = replica.clone();
-                take(&mut replica, &held, object);
+                store_object(&mut replica, &held, object);
             }
             WatchUpdate::Deleted(object) => {
                 replica.remove(&object.name);
@@ -212,8 +214,8 @@
     }
 }
 
-/// Takes over an object; its version must not be older than the one held.
-fn take(replica: &mut Replica, held: &Replica, object: Object<Value>) {
+/// Stores an object; its version must not be older than that of the held one.
+fn store_object(replica: &mut Replica, held: &Replica, object: Object<Value>) {
     let version: u64 = object.resource_version.0.parse().unwrap();
     let held_version = held.get(&object.name).map_or(0, |it| it.0);
     assert!(version >= held_version, "{} went back to version {version}", object.name);
@@ -221,7 +223,8 @@
 }
 
 fn numbers(replica: &Mutex<Replica>) -> Model {
-    // The consumer panics under the lock when a version goes back, which fails the case here.
+    // If a version decreases, the consumer panics with the lock held, and locking it here fails the
+    // test case.
     let replica = replica.lock().unwrap();
     replica.iter().map(|(name, (_, number))| (name.clone(), *number)).collect()
 }
@@ -236,5 +239,5 @@
     })]
 
     #[test]
-    fn the_consumer_ends_with_what_the_platform_holds(sequential 20..80 => WatcherTest);
+    fn the_consumer_ends_with_the_objects_of_the_platform(sequential 20..80 => WatcherTest);
 }
