--- a/crates/fakes/tests/tap.rs
+++ b/crates/fakes/tests/counting_proxy.rs
@@ -1,4 +1,4 @@
-//! The forwarding port counts the bytes and packets that pass through it.
+//! The counting proxy counts the bytes and packets that pass through it.
 
 use std::io;
 
