--- a/crates/fakes/src/scenarios/drive.rs
+++ b/crates/fakes/src/scenarios/drive.rs
@@ -1,4 +1,4 @@
-//! Carries out the events of a scenario while its load runs.
+//! Applies the events of a scenario while its load runs.
 
 use std::time::{Duration, Instant};
 
@@ -19,50 +19,53 @@
     },
 };
 
-/// Time between two looks at the processes.
-const LOOK_INTERVAL: Duration = Duration::from_millis(50);
-/// Time in which a data centre that was taken out may still receive new work, in milliseconds.
+/// Interval at which the processes and their records are checked.
+const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// Time after a data centre was taken out in which it may still receive new calls, in milliseconds.
 pub const OUT_GRACE_MS: u64 = 3_000;
-/// Time in which an agent notices that its upstream turned cold, in milliseconds.
+/// Time in which an agent has to detect that its upstream turned cold, in milliseconds.
 pub const COLD_DETECTION_MS: u64 = 1_000;
-/// Time between two resends of a failed request.
+/// Delay between repetitions of a request.
 const RESEND_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What was seen while the events were carried out.
+/// What the driver recorded while it applied the events.
 #[derive(Clone, Debug, Default)]
 pub struct DriverReport {
-    /// Upstream processes that crashed.
+    /// Number of crashes of upstream processes.
     pub crashes: u32,
-    /// Overloads of cold upstreams within the notice time after they turned.
+    /// Overloads of cold upstreams up to [`COLD_DETECTION_MS`] after they turned cold.
     pub early_overloads: u32,
-    /// Calls begun in a data centre after the notice time and before its return.
+    /// Calls started in a data centre that was out, after [`OUT_GRACE_MS`] and before its return.
     pub calls_while_out: u64,
-    /// Answers to the requests that were sent again, in order.
+    /// Outcomes of the requests that were sent repeatedly, in order.
     pub resends: Vec<String>,
-    /// Faults of the run itself.
+    /// Errors of the run itself, such as a failed graceful shutdown.
     pub errors: Vec<String>,
 }
 
-/// A data centre that is out.
-struct Out {
+/// A data centre that is out of service.
+struct OutDataCentre {
     name: &'static str,
+    /// Time from which new calls are violations.
     grace_ends_at: Instant,
+    /// Calls that its upstreams had started by then; set at the first poll after that time.
     calls_at_grace_end: Option<u64>,
 }
 
-/// Carries out events on a stack.
+/// Applies events to a stack.
 pub struct Driver<'a> {
     stack: &'a mut Stack,
     observer: &'a mut Observer,
     report: DriverReport,
-    out: Option<Out>,
+    out: Option<OutDataCentre>,
     cold_detected_by: Option<Instant>,
+    /// Indices of the upstreams whose agents were killed.
     killed: Vec<usize>,
     resends: Vec<JoinHandle<Vec<String>>>,
 }
 
 impl<'a> Driver<'a> {
-    /// Creates a driver that has done nothing yet.
+    /// Creates a driver that has not applied any events.
     pub fn new(stack: &'a mut Stack, observer: &'a mut Observer) -> Self {
         Self {
             stack,
@@ -75,11 +78,11 @@
         }
     }
 
-    /// Carries out the events until the load has ended.
+    /// Applies the events at their times until the load has ended.
     ///
     /// # Errors
     ///
-    /// Returns an error when an event cannot be carried out.
+    /// Returns an error when an event cannot be applied.
     pub async fn run(
         mut self,
         events: &[Event],
@@ -89,11 +92,11 @@
         let mut next = 0;
         while !load.is_finished() {
             while next < events.len() && start.elapsed().as_millis() as u64 >= events[next].at_ms {
-                self.carry_out(&events[next].action).await?;
+                self.apply(&events[next].action).await?;
                 next += 1;
             }
-            self.look().await?;
-            tokio::time::sleep(LOOK_INTERVAL).await;
+            self.poll().await?;
+            tokio::time::sleep(POLL_INTERVAL).await;
         }
         for resend in self.resends {
             self.report.resends.extend(resend.await.unwrap_or_default());
@@ -102,18 +105,19 @@
         Ok((tally, self.report))
     }
 
-    async fn carry_out(&mut self, action: &Action) -> Result<(), StackError> {
+    async fn apply(&mut self, action: &Action) -> Result<(), StackError> {
         match action {
             Action::DataCentreOut(name) => {
-                self.operate(&OperationsChange::DataCentreOut((*name).to_owned())).await?;
+                self.change_operations(&OperationsChange::DataCentreOut((*name).to_owned()))
+                    .await?;
                 let grace_ends_at = Instant::now() + Duration::from_millis(OUT_GRACE_MS);
-                self.out = Some(Out { name, grace_ends_at, calls_at_grace_end: None });
+                self.out = Some(OutDataCentre { name, grace_ends_at, calls_at_grace_end: None });
             }
             Action::DataCentreIn(name) => {
                 self.count_calls_while_out().await;
-                self.operate(&OperationsChange::DataCentreIn((*name).to_owned())).await?;
+                self.change_operations(&OperationsChange::DataCentreIn((*name).to_owned())).await?;
             }
-            Action::Platform(switches) => self.switch_platform(switches).await?,
+            Action::Platform(switches) => self.set_platform_switches(switches).await?,
             Action::Switch { pool, count, switches } => {
                 let pairs = self.stack.upstreams.iter().filter(|it| it.plan.pool == *pool);
                 for pair in pairs.take(*count) {
@@ -131,8 +135,8 @@
         Ok(())
     }
 
-    /// Restarts crashed upstreams and notes what is due.
-    async fn look(&mut self) -> Result<(), StackError> {
+    /// Reads the records, restarts crashed upstreams and takes the counts whose times have come.
+    async fn poll(&mut self) -> Result<(), StackError> {
         self.observer.read(self.stack).await;
         for index in 0..self.stack.upstreams.len() {
             if self.stack.upstreams[index].upstream.has_ended() {
@@ -155,7 +159,7 @@
         Ok(())
     }
 
-    async fn operate(&self, change: &OperationsChange) -> Result<(), StackError> {
+    async fn change_operations(&self, change: &OperationsChange) -> Result<(), StackError> {
         let client = &self.stack.client;
         let stored = client.get::<StoredOperations>(Kind::Operations, "current").await?;
         let current = stored.as_ref().map(|it| it.spec.record.clone());
@@ -174,7 +178,7 @@
         Ok(())
     }
 
-    async fn switch_platform(
+    async fn set_platform_switches(
         &self,
         switches: &platform::PlatformSwitches,
     ) -> Result<(), StackError> {
@@ -226,7 +230,10 @@
         let calls = self.calls_in(out.name).await;
         match out.calls_at_grace_end {
             Some(before) => self.report.calls_while_out += calls - before,
-            None => self.report.errors.push("the data centre returned too early".to_owned()),
+            None => self
+                .report
+                .errors
+                .push("data centre returned before the grace period ended".to_owned()),
         }
     }
 
@@ -241,21 +248,21 @@
     }
 }
 
-/// Sends a request again and again and describes the answers.
+/// Sends a pipeline request repeatedly and describes each outcome.
 async fn resend(entry: std::net::SocketAddr, input: &str, times: u32) -> Vec<String> {
     let caller = Caller::new("lone-star");
-    let mut answers = Vec::new();
+    let mut outcomes = Vec::new();
     for _ in 0..times {
-        let answer = match caller.pipeline(entry, "read-back", input).await {
-            Ok(answer) if answer.status == 200 => "answered".to_owned(),
-            Ok(answer) => {
-                let text = |name: &str| answer.body[name].as_str().unwrap_or("?").to_owned();
+        let outcome = match caller.pipeline(entry, "read-back", input).await {
+            Ok(response) if response.status == 200 => "answered".to_owned(),
+            Ok(response) => {
+                let text = |name: &str| response.body[name].as_str().unwrap_or("?").to_owned();
                 format!("{}/{}", text("reason"), text("outcome"))
             }
             Err(error) => error.detail,
         };
-        answers.push(answer);
+        outcomes.push(outcome);
         tokio::time::sleep(RESEND_INTERVAL).await;
     }
-    answers
+    outcomes
 }
--- a/crates/fakes/src/scenarios/list.rs
+++ b/crates/fakes/src/scenarios/list.rs
@@ -1,4 +1,4 @@
-//! All scenarios.
+//! Definitions of all scenarios.
 
 use super::scenario::{Action, Event, Scenario};
 use crate::{
@@ -11,36 +11,38 @@
     upstream::state::UpstreamSwitches,
 };
 
-/// Time that each call takes at a stand-in, in milliseconds.
+/// Duration of a call at a stand-in, in milliseconds.
 const DELAY_MS: u64 = 40;
 /// Time between two generated tokens, in milliseconds.
 const TOKEN_DELAY_MS: u64 = 5;
-/// Calls that a stand-in's agent passes on at once.
+/// Concurrency limit of the agents.
 const CONCURRENCY: u32 = 4;
-/// Time that a slow stand-in takes, in milliseconds.
+/// Duration of a call at a slow stand-in, in milliseconds.
 const SLOW_DELAY_MS: u64 = 600;
-/// Calls that a cold stand-in bears at once.
-const COLD_BEARABLE: u32 = 1;
-/// Calls after which a cold stand-in is warm.
+/// Concurrent calls that a cold stand-in can bear; more make it restart.
+const COLD_CONCURRENCY: u32 = 1;
+/// Completed calls after which a cold stand-in is warm.
 const COLD_CALLS: u32 = 10;
 /// Deadline of pipelines, in milliseconds.
 const PIPELINE_DEADLINE_MS: u64 = 2_000;
 /// Deadline of service calls, in milliseconds.
 const SERVICE_DEADLINE_MS: u64 = 1_500;
-/// Calls a second well below what the stack can do; the engines bear 66 pipelines a second.
+/// Calls per second well below the capacity of the stack; the engines can run 66 pipelines per
+/// second.
 const STEADY_RATE: f64 = 50.0;
-/// Calls a second at three times what the engines bear.
+/// Calls per second at three times the capacity of the engines.
 const BACKLOG_RATE: f64 = 330.0;
-/// Calls a second of a customer that floods the system.
+/// Calls per second while one customer floods the system.
 const FLOOD_RATE: f64 = 300.0;
-/// Text at which an engine crashes.
+/// Input that makes an engine crash.
 const POISON: &str = "poison riser";
 /// Number of entries.
 const ENTRIES: usize = 2;
 /// Number of upstreams in each pool.
 const UPSTREAMS: usize = 2;
-/// Number of upstreams in each pool where a third of them is slow or some agents end.
-const MORE_UPSTREAMS: usize = 3;
+/// Number of upstreams in each pool in scenarios where a third of them is slow or where agents or
+/// engines crash.
+const FAULT_UPSTREAMS: usize = 3;
 /// Pools of the demo document.
 const POOLS: [&str; 5] = ["encoders", "retrievers", "rerankers", "engines", "work-orders"];
 
@@ -72,7 +74,7 @@
 fn flood() -> Scenario {
     let mut flooded = phase(5.0, FLOOD_RATE);
     let customers = [("lone-star", 1), ("hill-country", 9)];
-    flooded.mix = Mix::new(&kinds(), &customers);
+    flooded.mix = Mix::new(&call_kinds(), &customers);
     scenario("flood", UPSTREAMS, vec![phase(1.0, STEADY_RATE), flooded], Vec::new())
 }
 
@@ -80,14 +82,14 @@
     let slow = UpstreamSwitches { delay_ms: SLOW_DELAY_MS, ..UpstreamSwitches::default() };
     let action = Action::Switch { pool: "rerankers", count: 1, switches: slow };
     let events = vec![Event::new(1_500, action)];
-    scenario("slow-stage", MORE_UPSTREAMS, vec![phase(7.0, STEADY_RATE)], events)
+    scenario("slow-stage", FAULT_UPSTREAMS, vec![phase(7.0, STEADY_RATE)], events)
 }
 
 fn cold_pool() -> Scenario {
     let events = vec![Event::new(2_000, Action::MakeCold("engines"))];
     let mut scenario = scenario("cold-pool", UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events);
     scenario.stack.change_pool_switches("engines", |it| {
-        it.cold_bearable = COLD_BEARABLE;
+        it.cold_bearable = COLD_CONCURRENCY;
         it.cold_calls = COLD_CALLS;
     });
     scenario
@@ -115,13 +117,13 @@
         Event::new(2_000, Action::KillAgents { count: 2 }),
         Event::new(4_000, Action::RestartAgents),
     ];
-    scenario("agents-killed", MORE_UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events)
+    scenario("agents-killed", FAULT_UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events)
 }
 
 fn poison() -> Scenario {
     let resend = Action::Resend { input: POISON, times: 6 };
     let events = vec![Event::new(1_500, resend)];
-    let mut scenario = scenario("poison", MORE_UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events);
+    let mut scenario = scenario("poison", FAULT_UPSTREAMS, vec![phase(8.0, STEADY_RATE)], events);
     scenario.stack.change_pool_switches("engines", |it| it.crash_on = Some(POISON.to_owned()));
     scenario
 }
@@ -145,10 +147,10 @@
     Scenario { name, stack, phases, events, deadlines }
 }
 
-/// Returns the demo document with the limits of the scenarios.
+/// Returns the demo document with the limits and deadlines of the scenarios.
 fn document() -> String {
     DEMO_DOCUMENT
-        .replace("cold_concurrency = 2", &format!("cold_concurrency = {COLD_BEARABLE}"))
+        .replace("cold_concurrency = 2", &format!("cold_concurrency = {COLD_CONCURRENCY}"))
         .replace("\nconcurrency = 32", &format!("\nconcurrency = {CONCURRENCY}"))
         .replace("deadline_ms = 8000", &format!("deadline_ms = {PIPELINE_DEADLINE_MS}"))
         .replace("deadline_ms = 4000", &format!("deadline_ms = {SERVICE_DEADLINE_MS}"))
@@ -159,11 +161,11 @@
     Phase {
         seconds,
         rate_per_second,
-        mix: Mix::new(&kinds(), &[("lone-star", 4), ("hill-country", 1)]),
+        mix: Mix::new(&call_kinds(), &[("lone-star", 4), ("hill-country", 1)]),
     }
 }
 
-fn kinds() -> [(CallKind, u32); 4] {
+fn call_kinds() -> [(CallKind, u32); 4] {
     [
         (CallKind::PipelinePlain, 3),
         (CallKind::PipelineStreamed, 3),
--- a/crates/fakes/src/scenarios/mod.rs
+++ b/crates/fakes/src/scenarios/mod.rs
@@ -1,4 +1,4 @@
-//! Runs of the real processes under load and faults, with the stand-ins' records checked afterwards.
+//! Runs of the real processes under load and faults, checked against the records of the stand-ins.
 
 pub mod check;
 pub mod drive;
--- a/crates/fakes/src/scenarios/observe.rs
+++ b/crates/fakes/src/scenarios/observe.rs
@@ -1,4 +1,4 @@
-//! Records of the stand-ins, kept also over their restarts.
+//! Records of the stand-ins, kept across restarts of their processes.
 
 use yuccatrail_core::FastMap;
 
@@ -7,46 +7,46 @@
     upstream::state::UpstreamRecord,
 };
 
-/// Records of one upstream: those of ended processes and that of the running one.
+/// Records of one upstream: those of its ended processes and that of the running process.
 #[derive(Clone, Debug, Default)]
-struct History {
+struct UpstreamHistory {
     ended: Vec<UpstreamRecord>,
     latest: Option<UpstreamRecord>,
 }
 
-/// Records of all upstreams.
+/// Collects the records of all upstreams.
 #[derive(Clone, Debug, Default)]
 pub struct Observer {
-    histories: Vec<History>,
+    histories: Vec<UpstreamHistory>,
 }
 
 /// Sums over the records of all upstreams.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Totals {
-    /// Calls begun.
+    /// Calls started.
     pub calls: u64,
-    /// Most calls in progress at one upstream.
+    /// Most calls in progress at once on one upstream.
     pub peak: u32,
-    /// Most calls in progress at one cold upstream.
+    /// Most calls in progress at once on one cold upstream.
     pub cold_peak: u32,
-    /// Times that a cold upstream was given more than it bears.
+    /// Times that a cold upstream got more concurrent calls than it can bear.
     pub overloads: u32,
-    /// Calls begun, by idempotency key.
+    /// Calls started, by idempotency key.
     pub runs_by_key: FastMap<String, u32>,
-    /// Calls begun, by request identifier.
+    /// Calls started, by request identifier.
     pub runs_by_request: FastMap<String, u32>,
 }
 
 impl Observer {
-    /// Creates an observer of `count` upstreams.
+    /// Creates an observer for `count` upstreams without any records.
     pub fn new(count: usize) -> Self {
-        Self { histories: vec![History::default(); count] }
+        Self { histories: vec![UpstreamHistory::default(); count] }
     }
 
-    /// Reads the records of all upstreams that answer.
+    /// Reads the records of all upstreams that are reachable.
     pub async fn read(&mut self, stack: &Stack) {
         for (history, pair) in self.histories.iter_mut().zip(&stack.upstreams) {
-            // A crashed upstream keeps the record that was read last.
+            // For a crashed upstream, the record that was read last stays.
             if let Ok(record) = stack.record(pair).await {
                 history.latest = Some(record);
             }
@@ -57,7 +57,7 @@
     ///
     /// # Errors
     ///
-    /// Returns an error when an upstream does not answer.
+    /// Returns an error when an upstream is not reachable.
     pub async fn read_all(&mut self, stack: &Stack) -> Result<(), StackError> {
         for (history, pair) in self.histories.iter_mut().zip(&stack.upstreams) {
             history.latest = Some(stack.record(pair).await?);
@@ -65,13 +65,13 @@
         Ok(())
     }
 
-    /// Notes that the process of an upstream has ended and another one starts with a new record.
+    /// Keeps the record of an upstream process that ended; its successor starts a new record.
     pub fn on_restart(&mut self, index: usize) {
         let history = &mut self.histories[index];
         history.ended.extend(history.latest.take());
     }
 
-    /// Sums up all records.
+    /// Sums up the records of all processes.
     pub fn totals(&self) -> Totals {
         let mut totals = Totals::default();
         for history in &self.histories {
--- a/crates/fakes/src/scenarios/report.rs
+++ b/crates/fakes/src/scenarios/report.rs
@@ -1,4 +1,4 @@
-//! Results of scenarios as JSON and as a table.
+//! Results of scenario runs, as JSON and as a table.
 
 use std::fmt::Write;
 
@@ -11,44 +11,44 @@
 pub struct ScenarioResult {
     /// Name of the scenario.
     pub name: String,
-    /// Seed of the load.
+    /// Random seed of the load.
     pub seed: u64,
-    /// What the callers saw.
+    /// Results of the load as the callers observed them.
     pub load: LoadReport,
-    /// Calls that the stand-ins began.
+    /// Calls that the stand-ins started, without those of the warm-up.
     pub calls: u64,
-    /// Calls that no right answer needed.
+    /// Calls that did not contribute to a correct response.
     pub wasted_calls: u64,
-    /// Most calls in progress at one stand-in.
+    /// Most calls in progress at once on one stand-in.
     pub peak: u32,
-    /// Most calls in progress at one cold stand-in.
+    /// Most calls in progress at once on one cold stand-in.
     pub cold_peak: u32,
-    /// Times that a cold stand-in was given more than it bears.
+    /// Times that a cold stand-in got more concurrent calls than it can bear.
     pub overloads: u32,
-    /// Stand-ins that crashed.
+    /// Number of crashes of stand-ins.
     pub crashes: u32,
-    /// Answers to a request that was sent again and again.
+    /// Outcomes of the requests that were sent repeatedly.
     pub resends: Vec<String>,
-    /// Violations of promises.
+    /// Violations of the system's guarantees.
     pub violations: Vec<String>,
 }
 
-/// Results of all runs.
+/// Results of all scenario runs.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 pub struct ScenarioReport {
-    /// Where and when they ran.
+    /// Hardware, build and start time of the runs.
     pub machine: Machine,
-    /// The runs.
+    /// Results by run, in the order of the runs.
     pub results: Vec<ScenarioResult>,
 }
 
 impl ScenarioReport {
-    /// Returns the number of violations in all runs.
+    /// Returns the total number of violations.
     pub fn violation_count(&self) -> usize {
         self.results.iter().map(|it| it.violations.len()).sum()
     }
 
-    /// Formats the tables.
+    /// Formats the results as a table, followed by the details of each run.
     pub fn table(&self) -> String {
         let mut table = format!("{}\n\n", self.machine);
         let _ = writeln!(
--- a/crates/fakes/src/scenarios/run.rs
+++ b/crates/fakes/src/scenarios/run.rs
@@ -1,4 +1,4 @@
-//! Runs one scenario.
+//! Execution of one scenario.
 
 use yuccatrail_platform::Kind;
 
@@ -19,17 +19,17 @@
     stack::run::{Stack, StackError, entry_instance},
 };
 
-/// Calls of the load that warm the upstreams up before a scenario begins.
+/// Number of pipeline requests, and of service calls, before the load, to warm up the upstreams.
 const WARM_UP_CALLS: u64 = 40;
 
-/// Starts the processes, runs the load with the events, stops the processes and checks the records.
+/// Starts the processes, runs the load and the events, shuts down and checks the records.
 ///
 /// # Errors
 ///
-/// Returns an error when a process does not start or an event cannot be carried out.
+/// Returns an error when a process does not start or an event cannot be applied.
 pub async fn run(scenario: &Scenario, seed: u64) -> Result<ScenarioResult, StackError> {
     let mut stack = Stack::start(scenario.stack.clone()).await?;
-    list_entries(&stack, scenario).await?;
+    register_entries(&stack, scenario).await?;
     warm_up(&stack).await;
     let mut observer = Observer::new(stack.upstreams.len());
     observer.read_all(&stack).await?;
@@ -46,13 +46,13 @@
     let (tally, mut driver_report) = driver.run(&scenario.events, load).await?;
     observer.read_all(&stack).await?;
     if let Err(error) = stack.close().await {
-        driver_report.errors.push(format!("planned stop: {error}"));
+        driver_report.errors.push(format!("graceful shutdown: {error}"));
     }
-    Ok(result(scenario, seed, &tally, &observer.totals(), &before, driver_report))
+    Ok(build_result(scenario, seed, &tally, &observer.totals(), &before, driver_report))
 }
 
-/// Lists the entries in the platform, so that they exchange state.
-async fn list_entries(stack: &Stack, scenario: &Scenario) -> Result<(), StackError> {
+/// Registers the entries in the platform, so that they exchange state.
+async fn register_entries(stack: &Stack, scenario: &Scenario) -> Result<(), StackError> {
     for (entry, data_centre) in stack.entries.iter().zip(&scenario.stack.entries) {
         let record = entry_instance(entry, data_centre);
         stack.client.create(Kind::Instances, &record.name, &record).await?;
@@ -60,19 +60,19 @@
     Ok(())
 }
 
-/// Makes calls through every entry until every upstream has had some.
+/// Sends calls through all entries in turn, so that every upstream gets some.
 async fn warm_up(stack: &Stack) {
     for number in 0..WARM_UP_CALLS {
         let entry = stack.entry(number as usize % stack.entries.len());
         let input = format!("warm up {number}");
-        // Answers of a system that is not warm yet say nothing.
+        // Failures are expected while the system is cold, so responses are ignored.
         let _ = stack.caller.pipeline(entry, "read-back", &input).await;
         let path = "/v1/services/work-orders/order/0";
         let _ = stack.caller.send(entry, "GET", path, &[], "").await;
     }
 }
 
-fn result(
+fn build_result(
     scenario: &Scenario,
     seed: u64,
     tally: &Tally,
@@ -96,7 +96,7 @@
     }
 }
 
-/// Counts the upstream calls that the right answers needed.
+/// Counts the upstream calls that the correct responses needed.
 fn useful_calls(tally: &Tally) -> u64 {
     let mut calls = 0;
     for (kind, count) in &tally.correct_by_kind {
--- a/crates/fakes/src/scenarios/scenario.rs
+++ b/crates/fakes/src/scenarios/scenario.rs
@@ -1,4 +1,4 @@
-//! Parts of a scenario.
+//! Types that define a scenario.
 
 use crate::{
     load::{plan::Phase, tally::Deadlines},
@@ -7,62 +7,62 @@
     upstream,
 };
 
-/// Processes, load and faults of one run.
+/// Processes, load and events of one run.
 #[derive(Clone, Debug)]
 pub struct Scenario {
     /// Name on the command line and in reports.
     pub name: &'static str,
     /// Processes to start.
     pub stack: StackPlan,
-    /// Load, in phases.
+    /// Phases of the load, in order.
     pub phases: Vec<Phase>,
-    /// Faults and operations, in order of their times.
+    /// Faults and operations, ordered by time.
     pub events: Vec<Event>,
-    /// Deadlines of the document.
+    /// Deadlines in the environment document.
     pub deadlines: Deadlines,
 }
 
-/// A fault or operation at a time after the start of the load.
+/// A fault or operation at one point in time.
 #[derive(Clone, Debug)]
 pub struct Event {
     /// Time after the start of the load, in milliseconds.
     pub at_ms: u64,
-    /// What happens.
+    /// The fault or operation.
     pub action: Action,
 }
 
 /// A fault or operation.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// Operators take a data centre out.
+    /// An operator takes a data centre out of service.
     DataCentreOut(&'static str),
-    /// Operators bring a data centre back.
+    /// An operator returns a data centre to service.
     DataCentreIn(&'static str),
-    /// The platform's faults change.
+    /// Injected faults of the platform stand-in change.
     Platform(platform::PlatformSwitches),
-    /// Upstreams of a pool change their behaviour.
+    /// Behaviour of upstreams of a pool changes.
     Switch {
-        /// The pool.
+        /// Name of the pool.
         pool: &'static str,
         /// Number of upstreams that change.
         count: usize,
-        /// Their new behaviour.
+        /// New behaviour.
         switches: upstream::state::UpstreamSwitches,
     },
     /// All upstreams of a pool turn cold.
     MakeCold(&'static str),
-    /// Agents end without warning.
+    /// Agents are killed without a graceful shutdown.
     KillAgents {
-        /// Number of agents, spread over the pools.
+        /// Number of agents, spread evenly over all upstreams.
         count: usize,
     },
-    /// Ended agents start again on their addresses.
+    /// Killed agents are started again on their previous addresses.
     RestartAgents,
-    /// A caller sends one request, and sends it again after each failure.
+    /// A caller sends the same pipeline request several times, one after the other.
     Resend {
         /// Input of the pipeline request.
         input: &'static str,
-        /// Number of times that it is sent.
+        /// Number of times that the request is sent.
         times: u32,
     },
 }
