--- a/crates/fakes/src/load/call.rs
+++ b/crates/fakes/src/load/call.rs
@@ -42,7 +42,7 @@
     /// The call.
     pub call: PlannedCall,
     /// How it ended.
-    pub verdict: CallOutcome,
+    pub outcome: CallOutcome,
     /// Request identifier that the system gave, if it is known.
     pub request_id: Option<String>,
     /// Time from the intended start to the end, in microseconds.
@@ -92,7 +92,7 @@
     intended: Instant,
 ) -> Observation {
     let mut arrivals = Arrivals::default();
-    let (verdict, request_id) = match call.kind {
+    let (outcome, request_id) = match call.kind {
         CallKind::PipelinePlain => pipeline_plain(caller, entry, &call).await,
         CallKind::PipelineStreamed => pipeline_streamed(caller, entry, &call, &mut arrivals).await,
         CallKind::ServiceRead => service_read(caller, entry, &call).await,
@@ -101,7 +101,7 @@
     let since = |it: Instant| it.saturating_duration_since(intended).as_micros() as u64;
     Observation {
         call,
-        verdict,
+        outcome,
         request_id,
         latency_us: since(Instant::now()),
         first_token_us: arrivals.first.map(since),
--- a/crates/fakes/src/load/tally.rs
+++ b/crates/fakes/src/load/tally.rs
@@ -115,7 +115,7 @@
         for gap_us in &observation.token_gaps_us {
             self.token_gap_us.saturating_record(*gap_us);
         }
-        match observation.verdict {
+        match observation.outcome {
             CallOutcome::Correct => self.add_correct(&observation),
             CallOutcome::Refused { reason, outcome } => {
                 self.refusal_us.saturating_record(observation.latency_us);
--- a/crates/fakes/tests/scenario_checks.rs
+++ b/crates/fakes/tests/scenario_checks.rs
@@ -11,7 +11,7 @@
 
 const DEADLINES: Deadlines = Deadlines { pipeline_ms: 2_000, service_ms: 1_000 };
 
-fn observation(verdict: CallOutcome, latency_us: u64) -> Observation {
+fn observation(outcome: CallOutcome, latency_us: u64) -> Observation {
     let call = PlannedCall {
         number: 0,
         at_us: 0,
@@ -20,7 +20,7 @@
     };
     Observation {
         call,
-        verdict,
+        outcome,
         request_id: Some("request-1".to_owned()),
         latency_us,
         first_token_us: None,
