--- a/crates/fakes/src/bin/experiments.rs
+++ b/crates/fakes/src/bin/experiments.rs
@@ -1,4 +1,4 @@
-//! Runs every scenario with the policy and with its baseline and prints a table.
+//! Simulates every scenario with the policies of the core and with a baseline, and prints a table.
 
 use std::{fs, io, path::PathBuf};
 
@@ -6,22 +6,22 @@
 use serde::Serialize;
 use yuccatrail_fakes::model::{Fleet, Mode, Outcome, run, scenarios};
 
-/// Measures the decisions of the core in virtual time.
+/// Compares the policies of the core with a baseline in a simulation.
 #[derive(Clone, Debug, Bpaf)]
 #[bpaf(options)]
 struct Settings {
-    /// Seed of arrivals and durations.
+    /// Seed of the random arrivals and call durations.
     #[bpaf(fallback(1))]
     seed: u64,
-    /// Only the scenarios whose names start with this.
+    /// Prefix of the names of the scenarios to run; all by default.
     #[bpaf(fallback(String::new()))]
     scenario: String,
-    /// Runs with other choices of upstreams as well.
+    /// Also run with random and with round-robin routing.
     all_policies: bool,
-    /// Revision of the source to note in the results.
+    /// Source revision to record in the results.
     #[bpaf(fallback("unknown".to_owned()))]
     revision: String,
-    /// File for the results as JSON.
+    /// File to write the results to, as JSON.
     output: Option<PathBuf>,
 }
 
--- a/crates/fakes/src/load/call.rs
+++ b/crates/fakes/src/load/call.rs
@@ -1,4 +1,4 @@
-//! One call of a load, with its answer compared to the expected one.
+//! Execution of one call of a load, with a check of its response against the expected one.
 
 use std::{net::SocketAddr, time::Instant};
 
@@ -13,56 +13,57 @@
     upstream::engine,
 };
 
-/// Pipeline that pipeline calls request.
+/// Name of the pipeline that pipeline calls request.
 const PIPELINE: &str = "read-back";
-/// Service that service calls request.
+/// Name of the service that service calls request.
 const SERVICE: &str = "work-orders";
 
-/// How a call ended.
+/// Outcome of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum CallOutcome {
-    /// The whole expected answer arrived.
+    /// The response was complete and as expected.
     Correct,
-    /// The system refused the request.
+    /// The system refused the request with a problem document.
     Refused {
-        /// Reason in the problem document.
+        /// Reason that the problem document gives.
         reason: String,
-        /// What the problem document says about the execution.
+        /// Whether the request was executed, as the problem document says.
         outcome: String,
     },
-    /// A complete answer arrived that is not the expected one.
+    /// The response was complete but not as expected; holds a description of it.
     Wrong(String),
-    /// The exchange broke or the answer is neither complete nor a problem document.
+    /// The HTTP exchange failed, or the response was neither complete nor a problem document;
+    /// holds a description of the failure.
     Broken(String),
 }
 
-/// What the caller of one call saw.
+/// One call as its caller observed it.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Observation {
     /// The call.
     pub call: PlannedCall,
-    /// How it ended.
+    /// Outcome of the call.
     pub outcome: CallOutcome,
-    /// Request identifier that the system gave, if it is known.
+    /// Request identifier that the system assigned, if the response had one.
     pub request_id: Option<String>,
-    /// Time from the intended start to the end, in microseconds.
+    /// Time from the planned start to the end of the call, in microseconds.
     pub latency_us: u64,
-    /// Time from the intended start to the first text of a stream, in microseconds.
+    /// Time from the planned start to the first text of a stream, in microseconds.
     pub first_token_us: Option<u64>,
-    /// Times between texts of a stream, in microseconds.
+    /// Times between consecutive texts of a stream, in microseconds.
     pub token_gaps_us: Vec<u64>,
 }
 
-/// Arrival times of a stream's texts.
+/// Arrival times of the texts of a stream.
 #[derive(Debug, Default)]
-struct Arrivals {
+struct TextArrivals {
     first: Option<Instant>,
     last: Option<Instant>,
     gaps_us: Vec<u64>,
 }
 
-impl Arrivals {
-    fn note(&mut self, now: Instant) {
+impl TextArrivals {
+    fn record(&mut self, now: Instant) {
         if let Some(last) = self.last {
             self.gaps_us.push((now - last).as_micros() as u64);
         }
@@ -72,18 +73,19 @@
 }
 
 impl PlannedCall {
-    /// Returns the input of a pipeline call, which differs from that of every other call.
+    /// Returns the input of a pipeline call, which is unique within the load.
     pub fn input(&self) -> String {
         format!("question {} of {}", self.number, self.customer)
     }
 
-    /// Returns the idempotency key of a service call that may run at most once.
+    /// Returns the idempotency key of a service call that may run at most once; `key_prefix` has to
+    /// be unique for each load.
     pub fn idempotency_key(&self, key_prefix: &str) -> String {
         format!("{key_prefix}-{}", self.number)
     }
 }
 
-/// Makes a call; `intended` is the time from which its latency counts.
+/// Sends a call; its latency is measured from `intended`, the planned start.
 pub async fn execute(
     caller: &Caller,
     entry: SocketAddr,
@@ -91,7 +93,7 @@
     key_prefix: &str,
     intended: Instant,
 ) -> Observation {
-    let mut arrivals = Arrivals::default();
+    let mut arrivals = TextArrivals::default();
     let (outcome, request_id) = match call.kind {
         CallKind::PipelinePlain => pipeline_plain(caller, entry, &call).await,
         CallKind::PipelineStreamed => pipeline_streamed(caller, entry, &call, &mut arrivals).await,
@@ -109,33 +111,34 @@
     }
 }
 
-type Judged = (CallOutcome, Option<String>);
+/// Outcome of a call with the request identifier, if the response had one.
+type CheckedResponse = (CallOutcome, Option<String>);
 
-async fn pipeline_plain(caller: &Caller, entry: SocketAddr, call: &PlannedCall) -> Judged {
+async fn pipeline_plain(caller: &Caller, entry: SocketAddr, call: &PlannedCall) -> CheckedResponse {
     let input = call.input();
-    let answer = caller.pipeline(entry, PIPELINE, &input).await;
-    judge(answer, |body| body["output"] == expected_output(&input))
+    let response = caller.pipeline(entry, PIPELINE, &input).await;
+    check_response(response, |body| body["output"] == expected_output(&input))
 }
 
 async fn pipeline_streamed(
     caller: &Caller,
     entry: SocketAddr,
     call: &PlannedCall,
-    arrivals: &mut Arrivals,
-) -> Judged {
+    arrivals: &mut TextArrivals,
+) -> CheckedResponse {
     let input = call.input();
-    let on_text = |_: &str| arrivals.note(Instant::now());
+    let on_text = |_: &str| arrivals.record(Instant::now());
     let streamed = match caller.pipeline_stream_observed(entry, PIPELINE, &input, on_text).await {
         Ok(streamed) => streamed,
         Err(error) => return (CallOutcome::Broken(error.detail), None),
     };
     if let Some(problem) = streamed.problem {
-        return (refused(&problem), text(&problem, "request_id"));
+        return (parse_refusal(&problem), string_field(&problem, "request_id"));
     }
     let Some(done) = streamed.done else {
-        return (CallOutcome::Broken("the stream ended without its final event".to_owned()), None);
+        return (CallOutcome::Broken("the stream ended without a done event".to_owned()), None);
     };
-    let id = text(&done, "request_id");
+    let id = string_field(&done, "request_id");
     let expected = expected_output(&input);
     if done["output"] == expected && expected["text"] == streamed.text.as_str() {
         return (CallOutcome::Correct, id);
@@ -143,11 +146,11 @@
     (CallOutcome::Wrong(format!("stream for {input:?}: {done} after {:?}", streamed.text)), id)
 }
 
-async fn service_read(caller: &Caller, entry: SocketAddr, call: &PlannedCall) -> Judged {
+async fn service_read(caller: &Caller, entry: SocketAddr, call: &PlannedCall) -> CheckedResponse {
     let target = format!("/order/{}", call.number);
     let path = format!("/v1/services/{SERVICE}{target}");
-    let answer = caller.send(entry, "GET", &path, &[], "").await;
-    judge(answer, |body| *body == engine::serve_call("GET", &target, ""))
+    let response = caller.send(entry, "GET", &path, &[], "").await;
+    check_response(response, |body| *body == engine::serve_call("GET", &target, ""))
 }
 
 async fn service_write(
@@ -155,38 +158,39 @@
     entry: SocketAddr,
     call: &PlannedCall,
     key_prefix: &str,
-) -> Judged {
+) -> CheckedResponse {
     let sent = json!({ "notice": call.number }).to_string();
     let path = format!("/v1/services/{SERVICE}/notices");
     let key = call.idempotency_key(key_prefix);
-    let answer =
+    let response =
         caller.send(entry, "POST", &path, &[("idempotency-key", &key)], sent.clone()).await;
-    judge(answer, |body| *body == engine::serve_call("POST", "/notices", &sent))
+    check_response(response, |body| *body == engine::serve_call("POST", "/notices", &sent))
 }
 
-fn judge(
-    answer: Result<ReceivedResponse, CallerError>,
-    is_right: impl FnOnce(&Value) -> bool,
-) -> Judged {
-    let answer = match answer {
-        Ok(answer) => answer,
+fn check_response(
+    response: Result<ReceivedResponse, CallerError>,
+    is_expected: impl FnOnce(&Value) -> bool,
+) -> CheckedResponse {
+    let response = match response {
+        Ok(response) => response,
         Err(error) => return (CallOutcome::Broken(error.detail), None),
     };
-    let id = answer.headers.get("x-request-id").and_then(|it| it.to_str().ok()).map(str::to_owned);
-    if answer.status != 200 {
-        return (refused(&answer.body), id);
+    let id =
+        response.headers.get("x-request-id").and_then(|it| it.to_str().ok()).map(str::to_owned);
+    if response.status != 200 {
+        return (parse_refusal(&response.body), id);
     }
-    if is_right(&answer.body) {
+    if is_expected(&response.body) {
         return (CallOutcome::Correct, id);
     }
-    (CallOutcome::Wrong(format!("unexpected answer {}", answer.body)), id)
+    (CallOutcome::Wrong(format!("unexpected response {}", response.body)), id)
 }
 
-/// Reads a problem document.
-fn refused(problem: &Value) -> CallOutcome {
-    match (text(problem, "reason"), text(problem, "outcome")) {
+/// Reads the refusal from a problem document.
+fn parse_refusal(problem: &Value) -> CallOutcome {
+    match (string_field(problem, "reason"), string_field(problem, "outcome")) {
         (Some(reason), Some(outcome)) => CallOutcome::Refused { reason, outcome },
-        _ => CallOutcome::Broken(format!("no problem document: {problem}")),
+        _ => CallOutcome::Broken(format!("not a problem document: {problem}")),
     }
 }
 
@@ -195,6 +199,6 @@
     json!({ "documents": expected.documents, "text": expected.text })
 }
 
-fn text(value: &Value, name: &str) -> Option<String> {
+fn string_field(value: &Value, name: &str) -> Option<String> {
     Some(value[name].as_str()?.to_owned())
 }
--- a/crates/fakes/src/load/mod.rs
+++ b/crates/fakes/src/load/mod.rs
@@ -1,4 +1,5 @@
-//! Open-loop load: calls start at planned times, whether or not earlier ones were answered.
+//! Open-loop load generator: calls start at planned times, whether or not earlier ones have
+//! completed.
 
 pub mod call;
 pub mod plan;
--- a/crates/fakes/src/load/report.rs
+++ b/crates/fakes/src/load/report.rs
@@ -1,4 +1,4 @@
-//! A load's results as JSON and as a short table.
+//! Results of a load, as JSON and as a table.
 
 use std::{collections::BTreeMap, fmt::Write};
 
@@ -7,7 +7,7 @@
 
 use super::tally::Tally;
 
-/// Quantiles of a histogram of times.
+/// Quantiles of a distribution of durations.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Quantiles {
     /// Number of values.
@@ -25,38 +25,38 @@
 /// Results of a load.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct LoadReport {
-    /// Calls made.
+    /// Calls that were sent.
     pub sent: u64,
-    /// Calls left out because too many were in progress.
+    /// Planned calls that were skipped because too many were in flight.
     pub unsent: u64,
-    /// Right answers within the deadline.
+    /// Correct responses within the deadline.
     pub on_time: u64,
-    /// Right answers after the deadline.
+    /// Correct responses after the deadline.
     pub late: u64,
-    /// Refused requests by `reason/outcome`.
+    /// Number of refused requests by `reason/outcome`.
     pub refused: BTreeMap<String, u64>,
-    /// Complete answers that are not the expected ones.
+    /// Complete responses that were not as expected.
     pub wrong: u64,
-    /// Exchanges that broke.
+    /// Failed HTTP exchanges, malformed or incomplete responses, and time-outs.
     pub broken: u64,
-    /// Part of the planned calls that got their answer on time.
+    /// Fraction of the planned calls with a correct response within the deadline.
     pub attainment: f64,
-    /// Part of each customer's calls that got their answer on time.
+    /// Fraction of each customer's sent calls with a correct response within the deadline.
     pub attainment_by_customer: BTreeMap<String, f64>,
-    /// Latency of right answers.
+    /// Latency of correct responses.
     pub latency: Quantiles,
-    /// Time to the refusal of refused requests.
+    /// Latency of refusals.
     pub refusal: Quantiles,
-    /// Time to the first text of streams.
+    /// Time to the first text of a stream.
     pub first_token: Quantiles,
-    /// Time between the texts of streams.
+    /// Time between consecutive texts of a stream.
     pub token_gap: Quantiles,
-    /// Examples of wrong and broken answers.
+    /// Descriptions of the first calls counted as `wrong` or `broken`.
     pub examples: Vec<String>,
 }
 
 impl Quantiles {
-    /// Reads the quantiles of a histogram of microseconds.
+    /// Computes the quantiles of a histogram whose values are in microseconds.
     pub fn of(histogram: &Histogram<u64>) -> Self {
         Self {
             count: histogram.len(),
@@ -69,7 +69,7 @@
 }
 
 impl LoadReport {
-    /// Summarizes a tally.
+    /// Creates the report of a tally.
     pub fn of(tally: &Tally) -> Self {
         let mut refused = BTreeMap::new();
         for (kind, count) in &tally.refused {
@@ -98,7 +98,7 @@
         }
     }
 
-    /// Formats a short table.
+    /// Formats the report as a table.
     pub fn table(&self) -> String {
         let mut table = String::new();
         let counts = [
--- a/crates/fakes/src/load/run.rs
+++ b/crates/fakes/src/load/run.rs
@@ -16,27 +16,27 @@
 };
 use crate::stack::caller::Caller;
 
-/// Calls in progress above which further ones are left out.
-const MAX_IN_PROGRESS: usize = 4_000;
-/// Time after the last start in which the answers have to arrive.
-const ANSWER_LIMIT: Duration = Duration::from_secs(30);
+/// Number of calls in flight at which further calls are skipped.
+const MAX_IN_FLIGHT: usize = 4_000;
+/// Time after the start of the last call within which all responses have to arrive.
+const RESPONSE_TIMEOUT: Duration = Duration::from_secs(30);
 
-/// A load and the entries that it is put on.
+/// A load and the entries that receive it.
 #[derive(Clone, Debug)]
 pub struct LoadSettings {
-    /// Entries, which take turns.
+    /// Addresses of the entries, which receive the calls in turn.
     pub entries: Vec<SocketAddr>,
-    /// Phases in order.
+    /// Phases of the load, in order.
     pub phases: Vec<Phase>,
-    /// Seed of the random numbers.
+    /// Seed of the random plan.
     pub seed: u64,
-    /// Prefix of the idempotency keys, which has to be new for each run against a stack.
+    /// Prefix of the idempotency keys, which has to be unique for each load on the same entries.
     pub key_prefix: String,
-    /// Deadlines by which a right answer counts as on time.
+    /// Deadlines within which a correct response counts as on time.
     pub deadlines: Deadlines,
 }
 
-/// Makes all calls and returns what their callers saw.
+/// Sends all calls and returns the tally of their outcomes.
 pub async fn run(settings: &LoadSettings) -> Tally {
     let calls = plan::plan(&settings.phases, settings.seed);
     let callers = callers(&calls);
@@ -50,7 +50,7 @@
         while let Some(Ok(observation)) = tasks.try_join_next() {
             tally.add(observation);
         }
-        if tasks.len() >= MAX_IN_PROGRESS {
+        if tasks.len() >= MAX_IN_FLIGHT {
             tally.unsent += 1;
             continue;
         }
@@ -60,7 +60,7 @@
         tasks
             .spawn(async move { call::execute(&caller, entry, call, &key_prefix, intended).await });
     }
-    collect_rest(tasks, &mut tally).await;
+    collect_remaining(tasks, &mut tally).await;
     tally
 }
 
@@ -74,19 +74,19 @@
     callers
 }
 
-/// Takes in the remaining answers; calls that stay unanswered count as broken.
-async fn collect_rest(mut tasks: JoinSet<Observation>, tally: &mut Tally) {
+/// Waits for the remaining calls; those that time out count as broken.
+async fn collect_remaining(mut tasks: JoinSet<Observation>, tally: &mut Tally) {
     let rest = async {
         while let Some(Ok(observation)) = tasks.join_next().await {
             tally.add(observation);
         }
     };
-    if tokio::time::timeout(ANSWER_LIMIT, rest).await.is_ok() {
+    if tokio::time::timeout(RESPONSE_TIMEOUT, rest).await.is_ok() {
         return;
     }
-    let unanswered = tasks.len() as u64;
-    tally.sent += unanswered;
-    tally.broken += unanswered;
-    tally.examples.push(format!("broken: {unanswered} calls were never answered"));
+    let timed_out = tasks.len() as u64;
+    tally.sent += timed_out;
+    tally.broken += timed_out;
+    tally.examples.push(format!("broken: {timed_out} calls timed out"));
     tasks.shutdown().await;
 }
--- a/crates/fakes/src/load/tally.rs
+++ b/crates/fakes/src/load/tally.rs
@@ -1,4 +1,4 @@
-//! Counts and latency histograms of a load.
+//! Outcome counts and latency histograms of a load.
 
 use std::collections::BTreeMap;
 
@@ -9,16 +9,16 @@
     plan::CallKind,
 };
 
-/// Longest latency that a histogram tells apart, in microseconds.
+/// Largest value that a histogram records, in microseconds; longer times count as this value.
 const MAX_LATENCY_US: u64 = 600_000_000;
-/// Significant decimal digits that a histogram keeps.
+/// Precision of a histogram, in significant decimal digits.
 const HISTOGRAM_DIGITS: u8 = 3;
-/// Examples of wrong and of broken answers that are kept.
+/// Most descriptions of wrong or broken calls that are kept.
 const MAX_EXAMPLES: usize = 5;
-/// Outcome by which a problem document says that the request was not run.
+/// Outcome in a problem document that says that the request was not executed.
 pub const NOT_RUN: &str = "not_run";
 
-/// Deadlines by which a right answer counts as on time.
+/// Deadlines within which a correct response counts as on time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Deadlines {
     /// Deadline of pipeline calls, in milliseconds.
@@ -30,54 +30,54 @@
 /// Why and how a request was refused.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct RefusalKind {
-    /// Reason in the problem document.
+    /// Reason that the problem document gives.
     pub reason: String,
-    /// What the problem document says about the execution.
+    /// Whether the request was executed, as the problem document says.
     pub outcome: String,
 }
 
-/// Counts of one customer.
+/// Call counts of one customer.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct CustomerTally {
-    /// Calls made.
+    /// Calls that were sent.
     pub sent: u64,
-    /// Right answers within the deadline.
+    /// Correct responses within the deadline.
     pub on_time: u64,
 }
 
-/// Counts and histograms of a load.
+/// Outcome counts and latency histograms of a load.
 #[derive(Clone, Debug)]
 pub struct Tally {
     deadlines: Deadlines,
-    /// Calls made.
+    /// Calls that were sent.
     pub sent: u64,
-    /// Calls that were left out because too many were in progress.
+    /// Planned calls that were skipped because too many were in flight.
     pub unsent: u64,
-    /// Right answers within the deadline.
+    /// Correct responses within the deadline.
     pub on_time: u64,
-    /// Right answers after the deadline.
+    /// Correct responses after the deadline.
     pub late: u64,
-    /// Right answers by kind of call.
+    /// Correct responses by call kind, including late ones.
     pub correct_by_kind: BTreeMap<CallKind, u64>,
-    /// Refused requests.
+    /// Number of refused requests by reason and outcome.
     pub refused: BTreeMap<RefusalKind, u64>,
-    /// Complete answers that are not the expected ones.
+    /// Complete responses that were not as expected.
     pub wrong: u64,
-    /// Exchanges that broke.
+    /// Failed HTTP exchanges, malformed or incomplete responses, and time-outs.
     pub broken: u64,
-    /// Examples of wrong and broken answers.
+    /// Descriptions of the first calls counted as `wrong` or `broken`.
     pub examples: Vec<String>,
-    /// Counts by customer.
+    /// Call counts by customer.
     pub customers: BTreeMap<String, CustomerTally>,
-    /// Identifiers of requests that were refused as not run.
+    /// Identifiers of refused requests that were reported as not run.
     pub not_run: Vec<String>,
-    /// Latency of right answers, in microseconds.
+    /// Latency of correct responses, in microseconds.
     pub latency_us: Histogram<u64>,
-    /// Time to the refusal of refused requests, in microseconds.
+    /// Latency of refusals, in microseconds.
     pub refusal_us: Histogram<u64>,
-    /// Time to the first text of streams, in microseconds.
+    /// Time to the first text of a stream, in microseconds.
     pub first_token_us: Histogram<u64>,
-    /// Time between the texts of streams, in microseconds.
+    /// Time between consecutive texts of a stream, in microseconds.
     pub token_gap_us: Histogram<u64>,
 }
 
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Adds what one caller saw.
+    /// Adds a call.
     pub fn add(&mut self, observation: Observation) {
         self.sent += 1;
         let customer = self.customers.entry(observation.call.customer.clone()).or_default();
@@ -135,7 +135,7 @@
         }
     }
 
-    /// Returns the part of all planned calls that got their answer on time.
+    /// Returns the fraction of planned calls with a correct response within the deadline.
     pub fn attainment(&self) -> f64 {
         let planned = self.sent + self.unsent;
         if planned == 0 { 0.0 } else { self.on_time as f64 / planned as f64 }
@@ -168,7 +168,7 @@
     }
 }
 
-/// Creates an empty histogram of times in microseconds.
+/// Creates an empty histogram for durations in microseconds.
 pub fn histogram() -> Histogram<u64> {
     Histogram::new_with_max(MAX_LATENCY_US, HISTOGRAM_DIGITS)
         .expect("the bounds of the histogram are valid")
--- a/crates/fakes/src/scenarios/report.rs
+++ b/crates/fakes/src/scenarios/report.rs
@@ -106,8 +106,8 @@
     for (kind, count) in &result.load.refused {
         let _ = writeln!(table, "  refused {kind}: {count}");
     }
-    for answer in &result.resends {
-        let _ = writeln!(table, "  sent again: {answer}");
+    for outcome in &result.resends {
+        let _ = writeln!(table, "  sent again: {outcome}");
     }
     for violation in &result.violations {
         let _ = writeln!(table, "  VIOLATION: {violation}");
--- a/crates/fakes/src/scenarios/scenario.rs
+++ b/crates/fakes/src/scenarios/scenario.rs
@@ -49,7 +49,7 @@
         /// New behaviour.
         switches: upstream::state::UpstreamSwitches,
     },
-    /// All upstreams of a pool turn cold.
+    /// All upstreams of a pool turn cold, as after a restart.
     MakeCold(&'static str),
     /// Agents are killed without a graceful shutdown.
     KillAgents {
