--- a/crates/fakes/src/capacity/test_cluster.rs
+++ b/crates/fakes/src/capacity/test_cluster.rs
@@ -26,7 +26,7 @@
 const POLL_INTERVAL: Duration = Duration::from_millis(50);
 /// Number of checks after which a condition counts as not reached.
 const POLL_LIMIT: u32 = 600;
-/// Time for which the processes settle after all connections are open, before the first measurement.
+/// Time for which the processes settle after all connections are open, before any measurement.
 const SETTLE_TIME: Duration = Duration::from_millis(1500);
 
 /// An agent or entry with a proxy that counts the traffic of incoming connections.
