--- a/crates/fakes/src/model/entry.rs
+++ b/crates/fakes/src/model/entry.rs
@@ -155,6 +155,7 @@
         self.estimates.conservative_ms(self.pools[stage.pool].key, stage.max_tokens)
     }
 
+    /// Decides whether to hedge an attempt; `tried` holds the upstreams of the stage's attempts.
     pub(crate) fn hedge(
         &mut self,
         now_ms: u64,
--- a/crates/fakes/src/model/fleet.rs
+++ b/crates/fakes/src/model/fleet.rs
@@ -79,7 +79,7 @@
 /// Smallest fraction of `max_tokens` that a call generates.
 pub(crate) const MIN_TOKEN_FRACTION: f64 = 0.25;
 
-/// Tokens that calls produce on average, as a part of the allowed ones.
+/// Mean fraction of `max_tokens` that a call generates.
 const MEAN_TOKEN_FRACTION: f64 = (1.0 + MIN_TOKEN_FRACTION) / 2.0;
 
 impl Fleet {
--- a/crates/fakes/src/model/sim/mod.rs
+++ b/crates/fakes/src/model/sim/mod.rs
@@ -72,29 +72,47 @@
     }
 }
 
+/// An event; requests, attempts, agents and entries are identified by their indices.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
+    /// The next request arrives.
     Arrive,
+    /// An attempt reaches its agent.
     Deliver(usize),
+    /// The upstream completes an attempt.
     EngineDone(usize),
+    /// The reply to an attempt reaches its entry.
     Reply(usize, ReplyKind),
+    /// The cancellation of an attempt reaches its agent.
     Cancel(usize),
+    /// The entry chooses an upstream again for a request and its stage.
     RetryChoice(usize, usize),
+    /// The entry decides again whether to hedge an attempt.
     Hedge(usize),
+    /// The deadline of a request expires.
     Deadline(usize),
+    /// The next queue entry of an agent expires.
     AgentTick(usize),
+    /// All agents probe their upstreams.
     Probe,
+    /// All agents report their load to all entries.
     Sync,
+    /// A change of the scenario takes place.
     Change(usize),
+    /// An agent learns whether its data centre is out.
     AgentOut(usize, bool),
+    /// An entry learns whether the data centre of an agent is out.
     EntryOut(usize, usize, bool),
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum ReplyKind {
     Completed,
+    /// The attempt left the agent without having run.
     NotRun,
+    /// The attempt was cancelled while it ran.
     Abandoned,
+    /// The upstream crashed or restarted while the attempt ran.
     Lost,
 }
 
@@ -119,8 +137,12 @@
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum State {
+    /// On the way to the agent, or in its queue.
     Waiting,
-    Running { since_us: u64, queued_ms: u64 },
+    Running {
+        since_us: u64,
+        queued_ms: u64,
+    },
     Ended(Usage),
 }
 
--- a/crates/fakes/src/scenarios/drive.rs
+++ b/crates/fakes/src/scenarios/drive.rs
@@ -135,7 +135,7 @@
         Ok(())
     }
 
-    /// Reads the records, restarts crashed upstreams and takes the counts whose times have come.
+    /// Reads the records, restarts crashed upstreams and counts calls and overloads for the report.
     async fn poll(&mut self) -> Result<(), StackError> {
         self.observer.read(self.stack).await;
         for index in 0..self.stack.upstreams.len() {
