--- a/crates/agent/src/executor.rs
+++ b/crates/agent/src/executor.rs
@@ -72,7 +72,8 @@
             return;
         }
         self.logged_cold = load.cold;
-        let (running, limit, doubts_probes) = (load.running, load.limit, self.core.doubts_probes());
+        let (running, limit, doubts_probes) =
+            (load.running, load.limit, self.core.distrusts_probes());
         info!(cold = load.cold, running = running, limit = limit, doubts_probes = doubts_probes; "upstream's cold state changed");
     }
 }
--- a/crates/core/src/agent/probing.rs
+++ b/crates/core/src/agent/probing.rs
@@ -30,8 +30,8 @@
         self.needs_probe
     }
 
-    /// Tells whether a sudden rise in latency contradicts probes that report the upstream as warm.
-    pub fn doubts_probes(&self) -> bool {
+    /// Tells whether a latency jump contradicts probes that report the upstream as warm.
+    pub fn distrusts_probes(&self) -> bool {
         self.capacity.distrusts_probes()
     }
 
