--- a/crates/core/src/ids.rs
+++ b/crates/core/src/ids.rs
@@ -73,7 +73,7 @@
     pub stage: StageIndex,
     /// Number of the attempt within its stage, counted from zero.
     pub number: u16,
-    /// Run of the entry process that started the attempt.
+    /// Incarnation of the entry process that started the attempt.
     pub entry: Incarnation,
 }
 
--- a/crates/core/src/quarantine/crashes/tests.rs
+++ b/crates/core/src/quarantine/crashes/tests.rs
@@ -6,15 +6,15 @@
     Digest([7; 32])
 }
 
-fn crash(tracker: &mut CrashTracker, run: u64, now_ms: u64) -> bool {
-    tracker.on_crash(Incarnation(run), digest(), REQUEST, now_ms)
+fn crash(tracker: &mut CrashTracker, incarnation: u64, now_ms: u64) -> bool {
+    tracker.on_crash(Incarnation(incarnation), digest(), REQUEST, now_ms)
 }
 
 #[test]
 fn request_is_refused_after_three_upstream_incarnations_crashed_until_strikes_expire() {
     let mut tracker = CrashTracker::new();
-    for run in 0..2 {
-        assert!(crash(&mut tracker, run, 100 * run));
+    for incarnation in 0..2 {
+        assert!(crash(&mut tracker, incarnation, 100 * incarnation));
         assert!(!tracker.is_refused(digest(), 1_000));
     }
     // Two copies of the request ran on the same incarnation; its crash counts once.
@@ -31,11 +31,11 @@
 fn completion_prevents_strikes_of_later_crashes_and_clears_those_of_earlier_ones() {
     let mut tracker = CrashTracker::new();
     tracker.on_complete(REQUEST, digest, 0);
-    for run in 0..3 {
-        assert!(!crash(&mut tracker, run, COMPLETION_RETENTION_MS - 1));
+    for incarnation in 0..3 {
+        assert!(!crash(&mut tracker, incarnation, COMPLETION_RETENTION_MS - 1));
     }
-    for run in 3..6 {
-        assert!(crash(&mut tracker, run, COMPLETION_RETENTION_MS));
+    for incarnation in 3..6 {
+        assert!(crash(&mut tracker, incarnation, COMPLETION_RETENTION_MS));
     }
     assert!(tracker.is_refused(digest(), COMPLETION_RETENTION_MS));
     tracker.on_complete(REQUEST, digest, COMPLETION_RETENTION_MS + 1);
--- a/crates/core/src/upstreams/choose.rs
+++ b/crates/core/src/upstreams/choose.rs
@@ -1,12 +1,12 @@
 //! Choice of an upstream for one call.
 //!
-//! A call goes to the upstream with the shortest expected time to an answer. A call with a shared
+//! A call goes to the upstream with the shortest expected time to a response. A call with a shared
 //! prompt prefix goes to the upstream that every entry ranks first for the prefix, since it has read
 //! the prefix before, unless that upstream is loaded clearly more than the others.
 
 use crate::upstreams::{Upstream, UpstreamKey, Upstreams, directory::rendezvous_weight};
 
-/// Assumed latency before the first answer, in milliseconds; low, so that new upstreams are tried.
+/// Assumed latency before the first response, in milliseconds; low, so that new upstreams are tried.
 const UNKNOWN_LATENCY_MS: f64 = 5.0;
 /// Time in which an observed latency decays halfway to the assumed one, in milliseconds.
 const LATENCY_HALF_LIFE_MS: f64 = 4_000.0;
@@ -102,7 +102,8 @@
         self.record.models.is_empty() || self.record.models.iter().any(|it| it == model)
     }
 
-    /// Returns the number of requests in progress and waiting, as far as this entry knows.
+    /// Returns the number of requests in progress and waiting: this entry's own, or those of a recent
+    /// report if that is more.
     fn load_at(&self, now_ms: u64) -> f64 {
         let reported = match self.load {
             Some((load, at_ms)) if now_ms.saturating_sub(at_ms) <= LOAD_MAX_AGE_MS => {
@@ -113,7 +114,7 @@
         f64::from(self.in_flight.max(reported))
     }
 
-    /// Returns the expected time to an answer plus penalties for distance and failures, in
+    /// Returns the expected time to a response plus penalties for distance and failures, in
     /// milliseconds.
     fn cost_ms(&self, data_centre: Option<&str>, now_ms: u64) -> f64 {
         let age_ms = now_ms.saturating_sub(self.latency_at_ms) as f64;
--- a/crates/core/src/upstreams/directory.rs
+++ b/crates/core/src/upstreams/directory.rs
@@ -13,7 +13,7 @@
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct UpstreamsSettings {
     /// Time after a platform outage for which upstreams that are missing from the list are kept, in
-    /// milliseconds. They are listed again within about two seconds, as the users state.
+    /// milliseconds. The platform lists them again within about two seconds.
     pub removal_grace_ms: u64,
     /// Backoff after a failed connection, in milliseconds; doubles with each consecutive failure.
     pub initial_backoff_ms: u64,
@@ -42,7 +42,7 @@
 pub enum ListUpdate {
     /// All upstreams that the platform lists.
     Snapshot(Vec<UpstreamRecord>),
-    /// All upstreams that another entry knows, received from it.
+    /// All upstreams in the list of another entry, received from it.
     FromPeer(Vec<UpstreamRecord>),
     /// An upstream was added to the list, or its record changed.
     Listed(UpstreamRecord),
@@ -69,7 +69,7 @@
     entries: Vec<String>,
     own_name: String,
     /// Whether the other entries are known; until then, cold upstreams with a limit receive no calls.
-    knows_entries: bool,
+    has_entries: bool,
     removal_grace_until_ms: u64,
     /// Whether a list has been received, from the platform or from another entry.
     has_list: bool,
@@ -101,7 +101,7 @@
 
     /// Returns the names of all entries, which share the limits; none before they are known.
     pub(crate) fn known_entries(&self) -> Option<&[String]> {
-        self.knows_entries.then_some(self.entries.as_slice())
+        self.has_entries.then_some(self.entries.as_slice())
     }
 
     /// Returns the revisions of the lists in use.
@@ -163,7 +163,7 @@
 
     /// Sets the names of the entries that share the limits; this entry's own name is added.
     pub fn set_entries(&mut self, mut entries: Vec<String>) {
-        self.knows_entries = true;
+        self.has_entries = true;
         entries.push(self.own_name.clone());
         entries.sort_unstable();
         entries.dedup();
@@ -298,7 +298,7 @@
         }
     }
 
-    /// Records the load that an answer reports.
+    /// Records the load that a response reports.
     pub fn observe_load(&mut self, key: UpstreamKey, load: Load, now_ms: u64) {
         if let Some(upstream) = self.all.get_mut(key) {
             upstream.load = Some((load, now_ms));
@@ -342,10 +342,10 @@
         if let Some(key) = known
             && let Some(upstream) = self.all.get_mut(key)
         {
-            let is_same_run = upstream.record.started_unix_ms == record.started_unix_ms
+            let is_same_incarnation = upstream.record.started_unix_ms == record.started_unix_ms
                 && upstream.record.address == record.address
                 && upstream.record.service == record.service;
-            if is_same_run {
+            if is_same_incarnation {
                 upstream.remove_at_ms = None;
                 if record.sequence < upstream.record.sequence {
                     return;
@@ -365,7 +365,7 @@
             cold_ms = cold_ms.max(cold_start(&self.cold_starts, &upstream.record.service).0);
         }
         upstream.cold_until_ms = now_ms + cold_ms;
-        if self.knows_entries {
+        if self.has_entries {
             upstream.entry_rank = rank_among(&self.entries, &self.own_name, &upstream.record.id);
         }
         let (id, service) = (upstream.record.id.clone(), upstream.record.service.clone());
--- a/crates/core/src/upstreams/platform_lists.rs
+++ b/crates/core/src/upstreams/platform_lists.rs
@@ -23,7 +23,7 @@
     }
 }
 
-/// The platform's lists as one entry knows them.
+/// The platform's lists as held by one entry.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PlatformLists {
     /// Revisions of the lists.
--- a/crates/core/src/upstreams/record.rs
+++ b/crates/core/src/upstreams/record.rs
@@ -8,7 +8,7 @@
 use crate::upstreams::ColdShare;
 
 new_key_type! {
-    /// Identifies one run of an upstream; a restarted upstream gets a new key.
+    /// Identifies one incarnation of an upstream; a restarted upstream gets a new key.
     pub struct UpstreamKey;
 }
 
@@ -29,16 +29,16 @@
     pub is_draining: bool,
     /// Time for which it stays cold, in milliseconds; 0 if it is warm.
     pub cold_remaining_ms: u64,
-    /// Sequence number of the record within one run; a lower one is older.
+    /// Sequence number of the record within one incarnation; a lower one is older.
     pub sequence: u64,
-    /// Start time on its own clock, in milliseconds since the Unix epoch; distinguishes runs under the
-    /// same identifier.
+    /// Start time on its own clock, in milliseconds since the Unix epoch; distinguishes
+    /// incarnations under the same identifier.
     pub started_unix_ms: Option<i64>,
     /// Models that it has loaded; empty if it does not state any.
     pub models: Vec<String>,
 }
 
-/// Load that an upstream reports with an answer.
+/// Load that an upstream reports with a response.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct Load {
     /// Number of running requests.
@@ -52,9 +52,9 @@
 /// How a call to an upstream ended.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum CallEnd {
-    /// A complete answer arrived.
+    /// A complete response arrived.
     Answered {
-        /// Time from sending to the head of the answer, in milliseconds.
+        /// Time from sending to the head of the response, in milliseconds.
         latency_ms: f64,
     },
     /// The upstream stated that it did not run the request, because it is at capacity.
@@ -63,13 +63,13 @@
     Replaced,
     /// No connection could be opened.
     Unreachable,
-    /// The connection broke, the answer was damaged, or an internal error was reported.
+    /// The connection broke, the response was damaged, or an internal error was reported.
     Failed,
     /// The call was cancelled by its caller, which does not reflect on the upstream.
     Cancelled,
 }
 
-/// One run of an upstream.
+/// One incarnation of an upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
     /// Latest record in the platform's list.
@@ -85,7 +85,7 @@
     /// Failed calls, whose weights decay exponentially, as of `failures_at_ms`.
     pub(crate) failures: f64,
     pub(crate) failures_at_ms: u64,
-    /// Moving average of the latency, in milliseconds; none before the first answer.
+    /// Moving average of the latency, in milliseconds; none before the first response.
     pub(crate) latency_ms: Option<f64>,
     pub(crate) latency_at_ms: u64,
     /// Time until which the upstream is treated as cold, in milliseconds.
--- a/crates/core/src/upstreams/tests.rs
+++ b/crates/core/src/upstreams/tests.rs
@@ -364,8 +364,8 @@
         ..ProptestConfig::default()
     })]
 
-    /// Whatever the number of entries, and whichever one each of them does not know yet, all together
-    /// keep the users' bound on a cold upstream in every second.
+    /// Whatever the number of entries, and whichever one is missing from each entry's list, all
+    /// together stay within the bound on a cold upstream in every second.
     #[test]
     fn all_entries_together_keep_the_cold_limit(
         entries in 1_usize..40,
--- a/crates/core/tests/crashes_fuzz.rs
+++ b/crates/core/tests/crashes_fuzz.rs
@@ -51,7 +51,7 @@
 }
 
 struct Upstream {
-    run: u64,
+    incarnation: u64,
     /// Entry and request of each call in progress.
     calls: Vec<(usize, usize)>,
 }
@@ -59,7 +59,7 @@
 struct Crashes {
     entries: Vec<Entry>,
     upstreams: Vec<Upstream>,
-    next_run: u64,
+    next_incarnation: u64,
     now_ms: u64,
 }
 
@@ -90,16 +90,16 @@
     }
 
     fn crash(&mut self, upstream: usize) {
-        let run = self.upstreams[upstream].run;
+        let incarnation = self.upstreams[upstream].incarnation;
         for (entry, request) in std::mem::take(&mut self.upstreams[upstream].calls) {
             let Entry { tracker, expected } = &mut self.entries[entry];
-            tracker.on_crash(Incarnation(run), digest(request), hash(request), self.now_ms);
+            tracker.on_crash(Incarnation(incarnation), digest(request), hash(request), self.now_ms);
             if !expected[request].has_completed {
-                expected[request].crashes.insert(run);
+                expected[request].crashes.insert(incarnation);
             }
         }
-        self.upstreams[upstream].run = self.next_run;
-        self.next_run += 1;
+        self.upstreams[upstream].incarnation = self.next_incarnation;
+        self.next_incarnation += 1;
     }
 
     fn complete(&mut self, upstream: usize) {
@@ -134,9 +134,10 @@
             harness::sabotage!(tracker, disabled);
             entries.push(Entry { tracker, expected: Default::default() });
         }
-        let upstreams =
-            (0..UPSTREAMS as u64).map(|run| Upstream { run, calls: Vec::new() }).collect();
-        Self { entries, upstreams, next_run: UPSTREAMS as u64, now_ms: 0 }
+        let upstreams = (0..UPSTREAMS as u64)
+            .map(|incarnation| Upstream { incarnation, calls: Vec::new() })
+            .collect();
+        Self { entries, upstreams, next_incarnation: UPSTREAMS as u64, now_ms: 0 }
     }
 
     fn step() -> BoxedStrategy<Step> {
--- a/crates/core/tests/quarantine_fuzz.rs
+++ b/crates/core/tests/quarantine_fuzz.rs
@@ -88,7 +88,7 @@
     Digest([request; 32])
 }
 
-fn agent_run(agent: usize) -> Incarnation {
+fn agent_incarnation(agent: usize) -> Incarnation {
     Incarnation(agent as u64)
 }
 
@@ -131,10 +131,10 @@
             return Ok(());
         }
         let strikes = self.processes[entry].strikes_against(fingerprint(request), self.now_ms);
-        let mut candidates: Vec<_> = (0..AGENTS).map(agent_run).collect();
+        let mut candidates: Vec<_> = (0..AGENTS).map(agent_incarnation).collect();
         candidates.rotate_left(entry);
         let agent = match exclusive_upstream(fingerprint(request), &candidates) {
-            Some(run) if at_entry == Admission::Exclusive => run.0 as usize,
+            Some(incarnation) if at_entry == Admission::Exclusive => incarnation.0 as usize,
             _ => agent,
         };
         let informed =
@@ -188,7 +188,7 @@
         self.crashes[agent] += 1;
         let number = self.crashes[agent];
         let process = &mut self.processes[ENTRIES + agent];
-        process.on_crash(agent_run(agent), number, &fingerprints, self.now_ms);
+        process.on_crash(agent_incarnation(agent), number, &fingerprints, self.now_ms);
         if requests.len() == 1 {
             self.alone_at_crash.extend(&requests);
         }
@@ -251,7 +251,7 @@
         (0..REQUESTS, 0..AGENTS, 0..2u32, any::<bool>(), any::<bool>(), 0..LIMITS.retention_ms)
             .prop_map(|(request, agent, number, alone, cleared, age_ms)| Strike {
                 fingerprint: fingerprint(request),
-                agent: agent_run(agent),
+                agent: agent_incarnation(agent),
                 number,
                 alone,
                 cleared,
