--- a/crates/core/src/membership/directory.rs
+++ b/crates/core/src/membership/directory.rs
@@ -33,7 +33,7 @@
     entries: Vec<InstanceRecord>,
     list_version: u64,
     operations: Option<Arc<OperationsRecord>>,
-    switch: MechanismSwitch<Sabotage>,
+    mechanisms: MechanismSwitch<Sabotage>,
 }
 
 impl Default for Directory {
@@ -51,19 +51,20 @@
             entries: Vec::new(),
             list_version: 0,
             operations: None,
-            switch: MechanismSwitch::new(),
+            mechanisms: MechanismSwitch::new(),
         }
     }
 
     /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.disable(mechanism);
+        self.mechanisms.disable(mechanism);
     }
 
     /// Applies an instance list; returns false if a newer one is known.
     pub fn apply_list(&mut self, list: InstanceList) -> bool {
-        if list.version < self.list_version && !self.switch.is_disabled(Sabotage::ListVersionCheck)
+        if list.version < self.list_version
+            && !self.mechanisms.is_disabled(Sabotage::ListVersionCheck)
         {
             return false;
         }
@@ -84,7 +85,7 @@
 
     /// Applies the operational state unless a newer one is known.
     pub fn set_operations(&mut self, operations: &Arc<OperationsRecord>) {
-        if self.switch.is_disabled(Sabotage::Operations) {
+        if self.mechanisms.is_disabled(Sabotage::Operations) {
             return;
         }
         if self.operations.as_ref().is_some_and(|it| it.version > operations.version) {
@@ -105,14 +106,14 @@
         key: UpstreamKey,
         report: AgentReport,
     ) -> Option<Incarnation> {
-        self.upstreams.get_mut(key)?.apply_report(report, &self.switch)
+        self.upstreams.get_mut(key)?.apply_report(report, &self.mechanisms)
     }
 
     /// Records at `now_ms` that an agent could not be reached or did not respond in time.
     ///
     /// The upstream gets no new work until its agent responds to a request that was sent later.
     pub fn contact_failed(&mut self, key: UpstreamKey, now_ms: u64) {
-        if self.switch.is_disabled(Sabotage::ContactFailure) {
+        if self.mechanisms.is_disabled(Sabotage::ContactFailure) {
             return;
         }
         if let Some(upstream) = self.upstreams.get_mut(key) {
@@ -195,7 +196,7 @@
         let known = self.key(&record.name);
         let key = match known.filter(|it| self.upstreams[*it].address() == record.address) {
             Some(key) => {
-                self.upstreams[key].update_record(record, &self.switch);
+                self.upstreams[key].update_record(record, &self.mechanisms);
                 key
             }
             None => {
@@ -218,7 +219,7 @@
             if listed.contains(&key) {
                 continue;
             }
-            upstream.is_listed = self.switch.is_disabled(Sabotage::ListMembership);
+            upstream.is_listed = self.mechanisms.is_disabled(Sabotage::ListMembership);
             if upstream.is_removable() {
                 removable.push(key);
             }
--- a/crates/core/src/membership/upstream.rs
+++ b/crates/core/src/membership/upstream.rs
@@ -109,10 +109,10 @@
     pub(super) fn update_record(
         &mut self,
         record: InstanceRecord,
-        switch: &MechanismSwitch<Sabotage>,
+        mechanisms: &MechanismSwitch<Sabotage>,
     ) {
         if let Some(report) = &mut self.last_report
-            && switch.is_disabled(Sabotage::ReportOverList)
+            && mechanisms.is_disabled(Sabotage::ReportOverList)
         {
             report.is_draining = record.state == InstanceState::Leaving;
         }
@@ -126,9 +126,9 @@
     pub(super) fn apply_report(
         &mut self,
         report: AgentReport,
-        switch: &MechanismSwitch<Sabotage>,
+        mechanisms: &MechanismSwitch<Sabotage>,
     ) -> Option<Incarnation> {
-        let is_order_checked = !switch.is_disabled(Sabotage::ReportOrder);
+        let is_order_checked = !mechanisms.is_disabled(Sabotage::ReportOrder);
         let is_outdated = self.last_report.is_some_and(|known| !is_later(&report, &known));
         if is_outdated && is_order_checked {
             return None;
--- a/crates/core/src/placement/fence.rs
+++ b/crates/core/src/placement/fence.rs
@@ -34,7 +34,7 @@
     /// Time from which the next command may be sent, in milliseconds.
     next_send_ms: u64,
     is_command_in_flight: bool,
-    switch: MechanismSwitch<Sabotage>,
+    mechanisms: MechanismSwitch<Sabotage>,
 }
 
 impl FenceGuard {
@@ -49,14 +49,14 @@
             max_transit_ms,
             next_send_ms: now_ms + max_transit_ms,
             is_command_in_flight: false,
-            switch: MechanismSwitch::new(),
+            mechanisms: MechanismSwitch::new(),
         }
     }
 
     /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.disable(mechanism);
+        self.mechanisms.disable(mechanism);
     }
 
     /// Records a token that was read after the agent's start: that of the platform's lease record,
@@ -77,15 +77,15 @@
     /// Returns a [`FenceError`] if the command must not be sent now.
     pub fn begin(&mut self, now_ms: u64, fence: FencingToken) -> Result<(), FenceError> {
         let is_known = self.highest.is_some();
-        if !is_known && !self.switch.is_disabled(Sabotage::TokenAfterRestart) {
+        if !is_known && !self.mechanisms.is_disabled(Sabotage::TokenAfterRestart) {
             return Err(FenceError::TokenUnknown);
         }
         let highest = self.highest.unwrap_or_default();
-        if fence < highest && !self.switch.is_disabled(Sabotage::FenceCheck) {
+        if fence < highest && !self.mechanisms.is_disabled(Sabotage::FenceCheck) {
             return Err(FenceError::StaleToken { highest });
         }
         let can_send = !self.is_command_in_flight && now_ms >= self.next_send_ms;
-        if !can_send && !self.switch.is_disabled(Sabotage::SingleCommandInFlight) {
+        if !can_send && !self.mechanisms.is_disabled(Sabotage::SingleCommandInFlight) {
             return Err(FenceError::CommandPending);
         }
         self.record_token(fence);
--- a/crates/core/src/placement/lease_manager.rs
+++ b/crates/core/src/placement/lease_manager.rs
@@ -90,7 +90,7 @@
     /// Time at which the next call is due, in milliseconds.
     next_call_ms: u64,
     write_number: u64,
-    switch: MechanismSwitch<Sabotage>,
+    mechanisms: MechanismSwitch<Sabotage>,
 }
 
 /// Stored record, or its absence, as last observed.
@@ -138,14 +138,14 @@
             pending_call: PendingCall::None,
             next_call_ms: 0,
             write_number: 0,
-            switch: MechanismSwitch::new(),
+            mechanisms: MechanismSwitch::new(),
         }
     }
 
     /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, mechanism: Sabotage) {
-        self.switch.disable(mechanism);
+        self.mechanisms.disable(mechanism);
     }
 
     /// Returns the fencing token under which the process may act now, if it holds a valid lease.
@@ -155,7 +155,7 @@
     pub fn valid_token(&self, now_ms: u64) -> Option<FencingToken> {
         let held = self.held?;
         let is_valid =
-            now_ms < held.valid_until_ms || self.switch.is_disabled(Sabotage::ExpiryCheck);
+            now_ms < held.valid_until_ms || self.mechanisms.is_disabled(Sabotage::ExpiryCheck);
         is_valid.then_some(held.fence)
     }
 
@@ -184,7 +184,7 @@
         if !self.has_expired(now_ms, &observed, &lease) {
             return self.read();
         }
-        let fence = match self.switch.is_disabled(Sabotage::IncreasingToken) {
+        let fence = match self.mechanisms.is_disabled(Sabotage::IncreasingToken) {
             true => lease.fence,
             false => FencingToken(lease.fence.0 + 1),
         };
@@ -224,7 +224,7 @@
     /// The holder counts the duration from before its write, and this process from when it first
     /// observed that write. So the lease always ends earlier for its holder.
     fn has_expired(&self, now_ms: u64, observed: &ObservedLease, lease: &Lease) -> bool {
-        if lease.holder == self.own_id || self.switch.is_disabled(Sabotage::AwaitExpiry) {
+        if lease.holder == self.own_id || self.mechanisms.is_disabled(Sabotage::AwaitExpiry) {
             return true;
         }
         now_ms.saturating_sub(observed.first_observed_ms) >= lease.duration_ms
@@ -270,7 +270,7 @@
             first_observed_ms: now_ms,
         });
         self.next_call_ms = write.sent_ms + self.settings.interval_ms;
-        if self.switch.is_disabled(Sabotage::ValidFromSent) {
+        if self.mechanisms.is_disabled(Sabotage::ValidFromSent) {
             write.sent_ms = now_ms;
         }
         self.set_held(write);
--- a/crates/core/src/quarantine/crashes.rs
+++ b/crates/core/src/quarantine/crashes.rs
@@ -17,8 +17,8 @@
     switch::MechanismSwitch,
 };
 
-/// Number of upstream crashes after which a request is refused, as the requirements of the users
-/// allow.
+/// Number of upstream crashes after which a request is refused: as many as the requirements on the
+/// service allow.
 pub const CRASH_LIMIT: u32 = 3;
 /// Time for which a crash counts, in milliseconds; afterwards the request may run again.
 const STRIKE_RETENTION_MS: u64 = 120_000;
@@ -40,10 +40,10 @@
     quarantine: Quarantine,
     /// Time of the last completion of each request, in milliseconds.
     completed_ms_by_request: FastMap<RequestHash, u64>,
-    switch: MechanismSwitch<CrashSabotage>,
+    mechanisms: MechanismSwitch<CrashSabotage>,
 }
 
-/// Mechanisms that tests disable to show that the test oracle detects it.
+/// Mechanism that a test disables to show that its oracle detects the fault.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum CrashSabotage {
     /// Strikes of other entries are ignored.
@@ -71,14 +71,14 @@
         Self {
             quarantine: Quarantine::new(limits),
             completed_ms_by_request: FastMap::default(),
-            switch: MechanismSwitch::new(),
+            mechanisms: MechanismSwitch::new(),
         }
     }
 
     /// Disables one mechanism.
     #[cfg(feature = "sabotage")]
     pub fn sabotage(&mut self, sabotage: CrashSabotage) {
-        self.switch.disable(sabotage);
+        self.mechanisms.disable(sabotage);
     }
 
     /// Returns whether no strikes are held, so that no request needs its digest computed.
@@ -102,7 +102,7 @@
     ) -> bool {
         let completed_ms = self.completed_ms_by_request.get(&request).copied();
         let has_completed = completed_ms.is_some_and(|it| now_ms < it + COMPLETION_RETENTION_MS);
-        if has_completed && !self.switch.is_disabled(CrashSabotage::EarlierCompletion) {
+        if has_completed && !self.mechanisms.is_disabled(CrashSabotage::EarlierCompletion) {
             return false;
         }
         // An incarnation of an upstream crashes only once.
@@ -122,14 +122,14 @@
         if self.completed_ms_by_request.len() < MAX_COMPLETIONS {
             self.completed_ms_by_request.insert(request, now_ms);
         }
-        if !self.is_empty() && !self.switch.is_disabled(CrashSabotage::LaterCompletion) {
+        if !self.is_empty() && !self.mechanisms.is_disabled(CrashSabotage::LaterCompletion) {
             self.quarantine.on_complete(fingerprint());
         }
     }
 
     /// Merges strikes received from another entry.
     pub fn merge(&mut self, strikes: &[Strike], now_ms: u64) {
-        if !self.switch.is_disabled(CrashSabotage::Merge) {
+        if !self.mechanisms.is_disabled(CrashSabotage::Merge) {
             self.quarantine.merge(strikes, now_ms);
         }
     }
--- a/crates/core/tests/harness/mod.rs
+++ b/crates/core/tests/harness/mod.rs
@@ -69,59 +69,59 @@
     pub(crate) steps: usize,
 }
 
-struct Machine<W>(PhantomData<W>);
+struct Machine<S>(PhantomData<S>);
 
-impl<W: Simulation> ReferenceStateMachine for Machine<W> {
-    type State = Option<W::Mechanism>;
-    type Transition = W::Step;
+impl<S: Simulation> ReferenceStateMachine for Machine<S> {
+    type State = Option<S::Mechanism>;
+    type Transition = S::Step;
 
     fn init_state() -> BoxedStrategy<Self::State> {
         Just(None).boxed()
     }
 
-    fn transitions(_: &Self::State) -> BoxedStrategy<W::Step> {
-        W::step()
+    fn transitions(_: &Self::State) -> BoxedStrategy<S::Step> {
+        S::step()
     }
 
-    fn apply(disabled: Self::State, _: &W::Step) -> Self::State {
+    fn apply(disabled: Self::State, _: &S::Step) -> Self::State {
         disabled
     }
 }
 
-impl<W: Simulation> StateMachineTest for Machine<W> {
-    type SystemUnderTest = W;
+impl<S: Simulation> StateMachineTest for Machine<S> {
+    type SystemUnderTest = S;
     type Reference = Self;
 
-    fn init_test(disabled: &Option<W::Mechanism>) -> W {
-        W::new(*disabled)
+    fn init_test(disabled: &Option<S::Mechanism>) -> S {
+        S::new(*disabled)
     }
 
-    fn apply(mut simulation: W, _: &Option<W::Mechanism>, step: W::Step) -> W {
+    fn apply(mut simulation: S, _: &Option<S::Mechanism>, step: S::Step) -> S {
         simulation.apply(step);
         simulation
     }
 
-    fn check_invariants(simulation: &W, _: &Option<W::Mechanism>) {
+    fn check_invariants(simulation: &S, _: &Option<S::Mechanism>) {
         simulation.check();
     }
 
-    fn teardown(simulation: W, _: Option<W::Mechanism>) {
+    fn teardown(simulation: S, _: Option<S::Mechanism>) {
         simulation.finish();
     }
 }
 
 /// Asserts that no case violates an invariant.
-pub(crate) fn assert_invariants_hold<W: Simulation>(settings: FuzzSettings) {
-    if let Err(error) = execute::<W>(settings, None, u32::MAX, &Cell::new(0)) {
+pub(crate) fn assert_invariants_hold<S: Simulation>(settings: FuzzSettings) {
+    if let Err(error) = execute::<S>(settings, None, u32::MAX, &Cell::new(0)) {
         panic!("seed {}: {error}", settings.seed);
     }
 }
 
 /// Asserts that some case violates an invariant while a mechanism is disabled.
-pub(crate) fn assert_detected<W: Simulation>(settings: FuzzSettings, disabled: W::Mechanism) {
+pub(crate) fn assert_detected<S: Simulation>(settings: FuzzSettings, disabled: S::Mechanism) {
     let (executed, seed) = (Cell::new(0), settings.seed);
     // The state machine strategy needs at least one shrink iteration.
-    match execute::<W>(settings, Some(disabled), 1, &executed) {
+    match execute::<S>(settings, Some(disabled), 1, &executed) {
         Err(TestError::Fail(reason, _)) => {
             println!(
                 "{disabled:?}: seed {seed}: violation found within {} cases: {reason}",
@@ -134,17 +134,17 @@
     }
 }
 
-fn execute<W: Simulation>(
+fn execute<S: Simulation>(
     settings: FuzzSettings,
-    disabled: Option<W::Mechanism>,
+    disabled: Option<S::Mechanism>,
     max_shrink_iters: u32,
     executed: &Cell<u32>,
 ) -> Result<(), TestError<String>> {
     let config = Config { max_shrink_iters, ..config(settings.seed, settings.cases) };
-    let strategy = Machine::<W>::sequential_strategy(1..settings.steps);
+    let strategy = Machine::<S>::sequential_strategy(1..settings.steps);
     let outcome = TestRunner::new(config.clone()).run(&strategy, |(_, steps, seen_counter)| {
         executed.set(executed.get() + 1);
-        Machine::<W>::test_sequential(config.clone(), disabled, steps, seen_counter);
+        Machine::<S>::test_sequential(config.clone(), disabled, steps, seen_counter);
         Ok(())
     });
     outcome.map_err(|error| match error {
--- a/crates/core/tests/membership_fuzz/main.rs
+++ b/crates/core/tests/membership_fuzz/main.rs
@@ -1,6 +1,6 @@
 //! Fuzzes the directory with late lists, reordered reports, restarts and changes of address.
 //!
-//! The oracle knows everything that was delivered and the time at which it held. An upstream may
+//! The oracle records everything that was delivered and the time at which it held. An upstream may
 //! get work only if the newest list, the latest report and the operational state all allow it.
 
 mod assignment;
@@ -34,8 +34,8 @@
     type Mechanism = Sabotage;
     type Step = Step;
 
-    fn new(off: Option<Sabotage>) -> Self {
-        Self::start(off)
+    fn new(disabled: Option<Sabotage>) -> Self {
+        Self::start(disabled)
     }
 
     fn step() -> BoxedStrategy<Step> {
@@ -80,7 +80,7 @@
 #[cfg(feature = "sabotage")]
 #[test]
 fn oracle_detects_each_disabled_mechanism() {
-    for off in [
+    for disabled in [
         Sabotage::ListVersionCheck,
         Sabotage::ReportOverList,
         Sabotage::ReportOrder,
@@ -88,6 +88,6 @@
         Sabotage::ListMembership,
         Sabotage::Operations,
     ] {
-        harness::assert_detected::<FleetSimulation>(FUZZ, off);
+        harness::assert_detected::<FleetSimulation>(FUZZ, disabled);
     }
 }
--- a/crates/core/tests/membership_fuzz/simulation.rs
+++ b/crates/core/tests/membership_fuzz/simulation.rs
@@ -66,9 +66,9 @@
 }
 
 impl FleetSimulation {
-    pub(crate) fn start(off: Option<Sabotage>) -> Self {
+    pub(crate) fn start(disabled: Option<Sabotage>) -> Self {
         let mut directory = Directory::new();
-        sabotage!(directory, off);
+        sabotage!(directory, disabled);
         let newest_list = InstanceList { version: 0, instances: vec![] };
         let mut simulation = Self {
             now_ms: 0,
--- a/crates/core/tests/placement_fuzz/main.rs
+++ b/crates/core/tests/placement_fuzz/main.rs
@@ -46,8 +46,8 @@
     type Mechanism = Sabotage;
     type Step = Step;
 
-    fn new(off: Option<Sabotage>) -> Self {
-        Self::start(off)
+    fn new(disabled: Option<Sabotage>) -> Self {
+        Self::start(disabled)
     }
 
     fn step() -> BoxedStrategy<Step> {
@@ -96,7 +96,7 @@
 #[cfg(feature = "sabotage")]
 #[test]
 fn oracle_detects_each_disabled_mechanism() {
-    for off in [
+    for disabled in [
         Sabotage::ValidFromSent,
         Sabotage::ExpiryCheck,
         Sabotage::AwaitExpiry,
@@ -105,6 +105,6 @@
         Sabotage::TokenAfterRestart,
         Sabotage::SingleCommandInFlight,
     ] {
-        harness::assert_detected::<LeaseSimulation>(FUZZ, off);
+        harness::assert_detected::<LeaseSimulation>(FUZZ, disabled);
     }
 }
--- a/crates/core/tests/placement_fuzz/simulation.rs
+++ b/crates/core/tests/placement_fuzz/simulation.rs
@@ -26,7 +26,7 @@
 }
 
 pub(crate) struct LeaseSimulation {
-    off: Option<Sabotage>,
+    disabled: Option<Sabotage>,
     now_ms: u64,
     has_clock_jumped: bool,
     pub(crate) is_platform_up: bool,
@@ -75,9 +75,9 @@
 }
 
 impl LeaseSimulation {
-    pub(crate) fn start(off: Option<Sabotage>) -> Self {
+    pub(crate) fn start(disabled: Option<Sabotage>) -> Self {
         let mut simulation = Self {
-            off,
+            disabled,
             now_ms: 0,
             has_clock_jumped: false,
             is_platform_up: true,
@@ -111,7 +111,7 @@
         self.last_holder_id += 1;
         let id = HolderId(self.last_holder_id);
         let mut manager = LeaseManager::new(SETTINGS, id);
-        sabotage!(manager, self.off);
+        sabotage!(manager, self.disabled);
         let clock_offset_ms = 17 * self.last_holder_id as u64;
         Holder { manager, phase: Phase::Idle, id, clock_offset_ms, is_suspended: false }
     }
@@ -119,7 +119,7 @@
     fn new_guard(&self, checks_tokens: bool) -> FenceGuard {
         let max_transit_ms = if checks_tokens { 0 } else { MAX_TRANSIT_MS };
         let mut guard = FenceGuard::new(self.now_ms, max_transit_ms);
-        sabotage!(guard, self.off);
+        sabotage!(guard, self.disabled);
         guard
     }
 
