--- a/crates/core/src/agent/core.rs
+++ b/crates/core/src/agent/core.rs
@@ -42,7 +42,7 @@
     pub customer: String,
     /// Digest of the customer, target and body of the request.
     pub fingerprint: Digest,
-    /// Strikes against the request that the entry knows of.
+    /// Strikes that the entry holds against the request.
     pub strikes: Vec<Strike>,
     /// Latest time at which the attempt may be dispatched, in milliseconds.
     pub dispatch_by_ms: u64,
--- a/crates/core/src/agent/crash_detection.rs
+++ b/crates/core/src/agent/crash_detection.rs
@@ -47,14 +47,14 @@
 pub enum ProbeResult {
     /// The upstream answered.
     Answered {
-        /// Identifier of the engine's current run, if it reports one.
+        /// Random identifier that the upstream chooses at each start, if it reports one.
         boot_id: Option<u64>,
-        /// Whether the engine is warm, if it reports that.
+        /// Whether the upstream is warm, if it reports that.
         warm: Option<bool>,
     },
     /// Nothing listens on the upstream's address.
     Refused,
-    /// The upstream did not give a valid answer in time.
+    /// The upstream did not give a valid response in time.
     NoAnswer,
 }
 
--- a/crates/core/src/at_most_once/steps.rs
+++ b/crates/core/src/at_most_once/steps.rs
@@ -101,7 +101,7 @@
 
     /// Refuses a request whose claim is unconfirmed, so that another copy of the call may have run.
     pub(crate) fn refuse_unconfirmed(&mut self) -> Vec<ClaimAction> {
-        let is_certain = self.only_copy || !self.mechanisms.has(Sabotage::UnsettledClaimUnknown);
+        let is_certain = self.only_copy || !self.mechanisms.has(Sabotage::UnconfirmedClaimUnknown);
         let execution = if is_certain { Execution::NotRun } else { Execution::Unknown };
         self.refuse(Reason::PlatformUnavailable, execution)
     }
@@ -142,7 +142,7 @@
 
     /// Returns whether a write with a lost response may still make this flow the holder.
     pub(crate) fn may_still_take_effect(&self) -> bool {
-        self.acquire_unconfirmed && self.mechanisms.has(Sabotage::ReleaseUnsettled)
+        self.acquire_unconfirmed && self.mechanisms.has(Sabotage::ReleaseUnconfirmed)
     }
 
     /// Returns whether the dispatch limit has passed.
--- a/crates/core/src/attempt/assembler.rs
+++ b/crates/core/src/attempt/assembler.rs
@@ -105,7 +105,8 @@
     pub fn completed(&self) -> Option<&Completion> {
         let completion = self.completion.as_ref()?;
         let has_all_chunks = self.next_sequence == completion.chunk_count;
-        (has_all_chunks || !self.mechanisms.has(Sabotage::AnswerCompleteness)).then_some(completion)
+        (has_all_chunks || !self.mechanisms.has(Sabotage::ResponseCompleteness))
+            .then_some(completion)
     }
 
     /// Returns the number of pages dropped because they belong to another attempt or agent
--- a/crates/core/src/batching/batcher.rs
+++ b/crates/core/src/batching/batcher.rs
@@ -69,7 +69,7 @@
     Answered(Vec<PieceResult>),
     /// The upstream did not accept the call.
     Full,
-    /// No complete answer arrived.
+    /// No complete response arrived.
     Failed,
 }
 
@@ -95,7 +95,7 @@
     pub(super) waiting: Vec<usize>,
     results: Vec<Option<ResultHandle>>,
     failures: u32,
-    /// The inputs have been released, so that no piece can be made again.
+    /// The inputs have been released, so that no piece can run again.
     pub(super) has_released_inputs: bool,
 }
 
@@ -190,7 +190,7 @@
         }
     }
 
-    /// Returns the expected time until `pieces` more pieces with the soft deadline `due_ms` are made,
+    /// Returns the expected time until `pieces` more pieces with the soft deadline `due_ms` are done,
     /// in milliseconds, with `upstreams` upstreams available.
     pub fn estimate_ms(&self, pieces: usize, due_ms: u64, upstreams: usize, now_ms: u64) -> f64 {
         let pieces_ahead: usize = self
@@ -481,8 +481,8 @@
         if group.has_released_inputs {
             return;
         }
-        let is_made = group.results.get(piece).is_some_and(Option::is_some);
-        if !is_made && !group.waiting.contains(&piece) {
+        let is_done = group.results.get(piece).is_some_and(Option::is_some);
+        if !is_done && !group.waiting.contains(&piece) {
             group.waiting.push(piece);
         }
     }
--- a/crates/core/src/batching/fill.rs
+++ b/crates/core/src/batching/fill.rs
@@ -64,7 +64,7 @@
         locations
     }
 
-    /// Returns the preferred data centre of a piece if the piece should wait for it rather than be made
+    /// Returns the preferred data centre of a piece if the piece should wait for it rather than run
     /// at `upstream`.
     fn better_data_centre<'a>(
         &self,
@@ -130,7 +130,7 @@
         free_bytes.saturating_sub(committed)
     }
 
-    /// Tells whether no upstream stores a result or is making one.
+    /// Tells whether no upstream stores a result or has reserved memory for one.
     fn is_all_memory_free(&mut self, locations: &Locations, now_ms: u64) -> bool {
         let capacity_bytes = self.planned_bytes();
         self.upstreams
--- a/crates/core/src/batching/mod.rs
+++ b/crates/core/src/batching/mod.rs
@@ -2,8 +2,9 @@
 //!
 //! A call has a fixed cost, so under load calls with a single piece would waste most of an
 //! upstream's time. The pieces of all requests therefore wait in one queue, and an upstream that
-//! becomes free takes a batch of them. Pieces that can still meet their soft deadline go first, by
-//! soft deadline; then the late ones, by deadline. Work that can't meet its deadline is rejected at
+//! becomes free takes a batch of them. Stages that have started go first, since their results take up
+//! memory until the stage is done. Otherwise pieces that can still meet their soft deadline go first,
+//! by soft deadline; then the late ones, by deadline. Work that can't meet its deadline is rejected at
 //! once. A slow upstream gets pieces only where no faster one would finish them earlier.
 
 mod batcher;
--- a/crates/core/src/batching/tests.rs
+++ b/crates/core/src/batching/tests.rs
@@ -43,8 +43,8 @@
 }
 
 fn answer(planned: &PlannedCall) -> CallResult {
-    let made = |it: usize| PieceResult::Completed(format!("{:?}/{it}", planned.call));
-    CallResult::Answered((0..planned.pieces.len()).map(made).collect())
+    let completed = |it: usize| PieceResult::Completed(format!("{:?}/{it}", planned.call));
+    CallResult::Answered((0..planned.pieces.len()).map(completed).collect())
 }
 
 #[test]
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn pieces_of_an_overdue_call_are_made_twice_and_delivered_once() {
+fn pieces_of_an_overdue_call_run_twice_and_are_delivered_once() {
     let upstreams = upstreams(2);
     let mut batcher = Batcher::new(SERVICE);
     batcher.submit(work(1, 1_000, 5_000));
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_large_result_is_made_in_its_preferred_data_centre_unless_time_is_short() {
+fn a_piece_with_a_large_result_runs_in_its_preferred_data_centre_unless_time_is_short() {
     let mut upstreams = upstreams(2);
     upstreams[1].data_centre = "y".into();
     let local = upstreams[1].key;
@@ -222,7 +222,7 @@
 }
 
 #[test]
-fn pieces_beyond_the_next_call_in_their_preferred_data_centre_are_made_elsewhere() {
+fn pieces_beyond_the_next_call_in_their_preferred_data_centre_run_elsewhere() {
     let mut upstreams = upstreams(2);
     upstreams[1].data_centre = "y".into();
     let (remote, local) = (upstreams[0].key, upstreams[1].key);
@@ -287,7 +287,7 @@
         let planned = batcher.next_call(&upstreams, 0).unwrap();
         assert_eq!(batcher.release_inputs(planned.call, |_| true), ["a"]);
         batcher.requeue_overdue(5_000);
-        assert_eq!(batcher.waiting(), 0, "it cannot be made elsewhere");
+        assert_eq!(batcher.waiting(), 0, "it cannot run elsewhere");
         let settled = batcher.finish(planned.call, result, 5_000);
         assert_eq!(settled.ended.len(), 1);
         assert_eq!(settled.ended[0].1, GroupOutcome::InputGone);
--- a/crates/core/src/batching/work.rs
+++ b/crates/core/src/batching/work.rs
@@ -9,7 +9,7 @@
 /// Added to the due time for each priority rank, in milliseconds: about the duration of one call.
 const PRIORITY_STEP_MS: u64 = 200;
 
-/// What a piece is made from.
+/// Input of a piece.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub enum PieceSource {
     /// The request's own data, identified by this key.
@@ -18,12 +18,12 @@
     Inputs(Vec<ResultHandle>),
 }
 
-/// Data centre in which making a piece transfers the fewest bytes between data centres.
+/// Data centre in which running a piece transfers the fewest bytes between data centres.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub struct PreferredDataCentre {
     /// The data centre.
     pub data_centre: Arc<str>,
-    /// Bytes that are transferred between data centres for each piece that is made elsewhere.
+    /// Bytes that are transferred between data centres for each piece that runs elsewhere.
     pub remote_bytes: u64,
 }
 
@@ -36,13 +36,13 @@
     pub stage: usize,
     /// Number of pieces.
     pub pieces: usize,
-    /// What each piece is made from.
+    /// Input of each piece.
     pub source: PieceSource,
     /// Whether no other stage reads the same inputs.
     pub is_only_reader: bool,
     /// Approximate size of one result, in bytes.
     pub result_bytes: u64,
-    /// Priority rank of the request; 0 is the by_bytes urgent.
+    /// Priority rank of the request; 0 is the most urgent.
     pub priority: u8,
     /// Time by which this stage has to finish for the request to be on time, in milliseconds. Work
     /// that misses it is late but still done.
@@ -50,7 +50,7 @@
     pub soft_deadline_ms: u64,
     /// Time after which the results are useless, in milliseconds.
     pub deadline_ms: u64,
-    /// Data centre to make the pieces in; none if unknown.
+    /// Data centre to run the pieces in; none if unknown.
     #[serde(rename = "home")]
     pub preferred_data_centre: Option<PreferredDataCentre>,
 }
--- a/crates/core/src/capacity/adaptive_limit.rs
+++ b/crates/core/src/capacity/adaptive_limit.rs
@@ -149,7 +149,7 @@
             return;
         }
 
-        // A window that used less than half of the limit is no evidence for raising it.
+        // A window that used less than half of the limit does not show that a higher one is safe.
         if window.peak_running * 2 < self.limit {
             return;
         }
--- a/crates/core/src/capacity/mod.rs
+++ b/crates/core/src/capacity/mod.rs
@@ -1,8 +1,8 @@
 //! Concurrency limit that an agent applies to its upstream.
 //!
-//! An upstream counts as cold until there is evidence that it is warm, also right after the start
-//! of the agent. While it is cold, no call starts beyond the cold limit. Once it is warm, the limit
-//! grows window by window and adapts to the observed latency.
+//! An upstream counts as cold until it is proved warm, also right after the start of the agent.
+//! While it is cold, no call starts beyond the cold limit. Once it is warm, the limit grows window
+//! by window and adapts to the observed latency.
 
 mod adaptive_limit;
 #[cfg(test)]
@@ -32,7 +32,7 @@
 
 /// Number of the period between two cold starts that the agent detected or assumed.
 ///
-/// Evidence that the upstream is warm counts only in the epoch in which its probe or call started.
+/// A probe or call proves the upstream warm only in the epoch in which it started.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Epoch(u32);
 
@@ -95,8 +95,8 @@
     IgnoreBootId,
     /// Connection failures and resets are ignored.
     IgnoreReset,
-    /// Evidence of warmth from earlier epochs is accepted.
-    AcceptStaleEvidence,
+    /// Probes and calls of earlier epochs are accepted as proof of warmth.
+    IgnoreEpoch,
     /// The upstream counts as warm from the start.
     StartWarm,
     /// The limit jumps to its maximum as soon as the upstream is warm.
@@ -116,7 +116,7 @@
     Stopped { until_ms: Option<u64> },
     /// The upstream may be in a cold start; counts consecutive completions of steady latency.
     Cold { steady: u32, last_ratio: Option<f64> },
-    /// There is evidence that the upstream is warm.
+    /// The upstream is proved warm.
     Warm,
 }
 
@@ -129,7 +129,7 @@
     phase: Phase,
     epoch: Epoch,
     boot_id: Option<u64>,
-    /// Whether the last probe told if the upstream is warm.
+    /// Whether the response to the last probe states if the upstream is warm.
     reports_warmth: bool,
     /// Whether a latency jump contradicts probes that report the upstream as warm.
     distrusts_probes: bool,
@@ -270,7 +270,7 @@
         }
 
         match probe.warm {
-            Some(true) if self.is_evidence_of_warmth(&probe) => self.set_warm(),
+            Some(true) if self.proves_warmth(&probe) => self.set_warm(),
             Some(false) => self.assume_cold_start(),
             _ => {}
         }
@@ -369,7 +369,7 @@
         self.warm_limit.restart();
     }
 
-    /// Assumes a cold start: begins a new epoch, in which earlier evidence no longer counts.
+    /// Assumes a cold start: begins a new epoch, in which earlier probes and calls prove nothing.
     fn assume_cold_start(&mut self) {
         self.phase = COLD;
         self.distrusts_probes = false;
@@ -387,13 +387,13 @@
         }
     }
 
-    fn is_evidence_of_warmth(&self, probe: &Probe) -> bool {
+    fn proves_warmth(&self, probe: &Probe) -> bool {
         self.is_current_epoch(probe.epoch) && !self.distrusts_probes
     }
 
     fn is_current_epoch(&self, epoch: Epoch) -> bool {
         #[cfg(feature = "sabotage")]
-        if self.sabotage == Sabotage::AcceptStaleEvidence {
+        if self.sabotage == Sabotage::IgnoreEpoch {
             return true;
         }
         epoch == self.epoch
--- a/crates/core/src/control/change.rs
+++ b/crates/core/src/control/change.rs
@@ -50,13 +50,13 @@
     },
     /// The read found that the object does not exist.
     Missing,
-    /// The read failed or got no answer.
+    /// The read failed or got no response.
     ReadFailed,
     /// The write took effect.
     Written,
     /// The write did not take effect because its condition was not met.
     Conflict,
-    /// The answer to the write was lost, so it may or may not take effect, now or later.
+    /// The response to the write was lost, so it may or may not take effect, now or later.
     AnswerLost,
     /// The write did not and will not take effect because the platform rejected it or was
     /// unreachable.
@@ -148,7 +148,7 @@
     if_revision: Option<u64>,
     stored: Stored<T>,
     version: u64,
-    /// Whether an answer was lost, so that the write may still take effect at any time.
+    /// Whether a response was lost, so that the write may still take effect at any time.
     is_ambiguous: bool,
 }
 
@@ -224,7 +224,7 @@
         self.mechanisms.disable(mechanism);
     }
 
-    /// Identifier of the change in the stored history.
+    /// Returns the identifier of the change in the stored history.
     pub fn change_id(&self) -> ChangeId {
         self.change_id
     }
@@ -252,7 +252,7 @@
         };
         let current = (self.record_id)(&stored.record);
         // The object is unchanged, so the write may still take effect later. Sending it again under
-        // the same condition settles the matter: at most one of the two can take effect.
+        // the same condition is safe: at most one of the two can take effect.
         if current.version < write.version {
             return self.send(write);
         }
--- a/crates/core/src/control/sabotage.rs
+++ b/crates/core/src/control/sabotage.rs
@@ -9,11 +9,11 @@
     DigestCheck,
     /// Adopt a different record that has the version in force.
     ConflictCheck,
-    /// Treat a lost answer as a refusal instead of reading the object back.
+    /// Treat a lost response as a refusal instead of reading the object back.
     ReadBack,
     /// Overwrite the change that won a race instead of reporting a conflict.
     ConflictReport,
-    /// Treat a conflict after a lost answer as a refusal instead of reading the object back.
+    /// Treat a conflict after a lost response as a refusal instead of reading the object back.
     ReadBackAfterConflict,
     /// Compare only the latest change when reading back, not the whole history.
     History,
--- a/crates/core/src/control/state.rs
+++ b/crates/core/src/control/state.rs
@@ -112,7 +112,7 @@
         self.mechanisms.disable(mechanism);
     }
 
-    /// Versions that the process holds.
+    /// Returns the versions that the process holds.
     pub fn versions(&self) -> Versions {
         Versions {
             config: self.config.as_ref().map_or(0, |it| it.record.version),
@@ -120,17 +120,17 @@
         }
     }
 
-    /// The document in force, if the process holds one.
+    /// Returns the document in force, if the process holds one.
     pub fn document(&self) -> Option<&Arc<Document>> {
         self.config.as_ref().map(|it| &it.document)
     }
 
-    /// The configuration record in force, if the process holds one.
+    /// Returns the configuration record in force, if the process holds one.
     pub fn config(&self) -> Option<&ConfigRecord> {
         self.config.as_ref().map(|it| &it.record)
     }
 
-    /// The operational state in force, if the process holds one.
+    /// Returns the operational state in force, if the process holds one.
     pub fn operations(&self) -> Option<&Arc<OperationsRecord>> {
         self.operations.as_ref()
     }
--- a/crates/core/src/control/stored.rs
+++ b/crates/core/src/control/stored.rs
@@ -5,7 +5,7 @@
 use super::{ChangeId, ConfigRecord, OperationsRecord};
 use crate::ids::Digest;
 
-/// Number of past changes kept in a stored object, so that a flow whose answer was lost can find
+/// Number of past changes kept in a stored object, so that a flow whose response was lost can find
 /// its own change.
 const MAX_HISTORY_ENTRIES: usize = 64;
 
--- a/crates/core/src/control/tests.rs
+++ b/crates/core/src/control/tests.rs
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn lost_answer_is_resolved_from_the_history() {
+fn write_with_a_lost_response_is_resolved_from_the_history() {
     let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, change_id(1)).unwrap();
     flow.start();
     let ChangeAction::Write { stored, .. } = flow.handle(ChangeEvent::Missing) else {
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn unsettled_write_is_sent_again_with_the_same_condition() {
+fn ambiguous_write_is_sent_again_with_the_same_condition() {
     let mut flow = ChangeFlow::promote(Arc::from(TEXT), None, change_id(1)).unwrap();
     flow.start();
     let write = flow.handle(ChangeEvent::Missing);
--- a/crates/core/src/document/check.rs
+++ b/crates/core/src/document/check.rs
@@ -152,12 +152,12 @@
         self.check_deadline(&at("deadline_ms"), service.deadline_ms, Some(pool.estimate_ms));
     }
 
-    fn check_rules(&mut self, service: usize, rules: &Service) {
-        for (number, rule) in rules.idempotent.iter().enumerate() {
+    fn check_rules(&mut self, index: usize, service: &Service) {
+        for (number, rule) in service.idempotent.iter().enumerate() {
             let at = |key| {
                 [
                     PathSegment::Key("service"),
-                    PathSegment::Index(service),
+                    PathSegment::Index(index),
                     PathSegment::Key("idempotent"),
                     PathSegment::Index(number),
                     PathSegment::Key(key),
--- a/crates/core/src/document/mod.rs
+++ b/crates/core/src/document/mod.rs
@@ -45,7 +45,7 @@
     pub max_body_bytes: usize,
     /// Time within which a caller must send its complete request, in milliseconds.
     pub request_read_timeout_ms: u64,
-    /// Number of retries allowed per hundred completed attempts.
+    /// Number of retries allowed per hundred completed stages.
     pub retries_per_hundred: u32,
     /// Number of strikes at which a request is quarantined; it gets one for each upstream that
     /// crashes while running it.
@@ -79,13 +79,13 @@
     Service,
 }
 
-/// How the engines of a pool handle the fencing numbers sent with placement orders.
+/// How the upstreams of a pool handle the fencing tokens sent with placement commands.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub enum Fencing {
-    /// The engine rejects an order with an outdated number.
+    /// The upstream rejects a command with an outdated token.
     Checked,
-    /// The engine ignores the number, so only the agent checks it.
+    /// The upstream ignores the token, so only the agent checks it.
     #[default]
     Ignored,
 }
@@ -116,7 +116,7 @@
     /// Expected time of one generated token, in milliseconds.
     #[serde(default)]
     pub token_estimate_ms: u64,
-    /// How the engines handle fencing numbers.
+    /// How the upstreams handle fencing tokens.
     #[serde(default)]
     pub fencing: Fencing,
 }
--- a/crates/core/src/drain/gate.rs
+++ b/crates/core/src/drain/gate.rs
@@ -105,7 +105,7 @@
         self.change_from(before)
     }
 
-    /// Closes the gate permanently because the process was told to stop.
+    /// Closes the gate permanently because the process is shutting down.
     pub fn stop(&mut self) -> GateChange {
         let before = self.refusal();
         self.is_stopping = true;
--- a/crates/core/src/drain/mod.rs
+++ b/crates/core/src/drain/mod.rs
@@ -1,7 +1,7 @@
 //! Refusal of new work when an upstream, a data centre or a process is taken out of service.
 //!
 //! An agent checks its [`Gate`] before it accepts a call and again before it dispatches one. A
-//! process that is told to stop follows its [`GracefulShutdown`]. Neither aborts work in progress,
+//! process that shuts down follows its [`GracefulShutdown`]. Neither aborts work in progress,
 //! unless an operator has set a time limit for the shutdown.
 
 mod freshness;
--- a/crates/core/src/freshness/mod.rs
+++ b/crates/core/src/freshness/mod.rs
@@ -10,7 +10,7 @@
 /// every 25 ms; an entry short of CPU time may miss a few tenths of a second.
 const PAUSE_LIMIT_MS: u64 = 1_000;
 /// Longest time for which requests are held until the lists are read again, in milliseconds: two
-/// answers of a slow platform store.
+/// responses of a slow platform store.
 const HOLD_LIMIT_MS: u64 = 500;
 
 /// Kind of platform data that is read again after a pause.
--- a/crates/core/src/outcome.rs
+++ b/crates/core/src/outcome.rs
@@ -58,7 +58,7 @@
     UnknownAttempt,
     /// The request is quarantined because upstreams crashed while they were running it.
     Quarantined,
-    /// The agent holds strikes against the request that the sender did not know of.
+    /// The agent holds strikes against the request, but the sender sent none with it.
     Suspected,
     /// No upstream of the pool is reachable.
     NoUpstream,
--- a/crates/core/src/ownership/tests.rs
+++ b/crates/core/src/ownership/tests.rs
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn entries_agree_on_an_owner_while_all_of_them_stop() {
+fn entries_agree_on_an_owner_while_all_of_them_shut_down() {
     let stopping = OwnState { takes_work: false, follows_platform: true };
     let all = candidates(&[0.2; 3]);
     let state = PeerState::Alive { takes_work: false, follows_platform: true };
--- a/crates/core/src/ownership/view.rs
+++ b/crates/core/src/ownership/view.rs
@@ -63,7 +63,7 @@
     state: PeerState,
 }
 
-/// All entries as one of them knows them.
+/// All entries as listed and polled by one of them.
 #[derive(Debug)]
 pub struct EntryView {
     own: Candidate,
@@ -75,12 +75,12 @@
 }
 
 impl EntryView {
-    /// Creates the view of an entry that knows no others.
+    /// Creates the view of an entry without others.
     pub fn new(own: Candidate) -> Self {
         Self { own, listed: FastMap::default(), rankings: FastMap::default(), ring: None }
     }
 
-    /// Adds an entry or updates its CPU share; the state of an earlier run is reset.
+    /// Adds an entry or updates its CPU share; the state of an earlier incarnation is reset.
     pub fn add(&mut self, entry: Candidate) {
         if entry.name == self.own.name {
             return;
@@ -110,7 +110,8 @@
 
     /// Returns the owner of a shared work, or `None` if it is this entry.
     ///
-    /// While no entry accepts work, as when all stop one after the other, the first live entry owns it.
+    /// While no entry accepts work, as when all shut down one after the other, the first live entry
+    /// owns it.
     pub fn owner(&mut self, subject: &str, own: OwnState) -> Option<&str> {
         self.rank(subject);
         let (listed, own_name) = (&self.listed, &self.own.name);
--- a/crates/core/src/quarantine/mod.rs
+++ b/crates/core/src/quarantine/mod.rs
@@ -12,7 +12,7 @@
 //! A request that merely shares upstreams with a quarantined one never gets a strike for being
 //! alone, because only the request itself could have crashed an upstream that it had to itself.
 //! Sharing an upstream, however often, therefore quarantines no request. Two crashes with otherwise
-//! disjoint sets of requests would not be sufficient evidence: two different requests can each
+//! disjoint sets of requests would not be sufficient proof: two different requests can each
 //! crash an upstream that the same innocent request shares.
 //!
 //! # Bound on crashed upstreams
@@ -24,9 +24,9 @@
 //! next entry or agent, `u` is one and the bound is two. The bound depends on these rules:
 //!
 //! - All entries send a suspect to the same upstream, [`exclusive_upstream`], and include the
-//!   strikes that they know in the submit. The agent there runs it exclusively, thus one copy at a
-//!   time. After a crash it knows at least two strikes and refuses every other copy.
-//! - An agent that knows a strike of which the entry did not know refuses the submit as not run,
+//!   strikes that they hold in the submit. The agent there runs it exclusively, thus one copy at a
+//!   time. After a crash it holds at least two strikes and refuses every other copy.
+//! - An agent that holds strikes refuses a submit that carries none as not run,
 //!   see [`Quarantine::admit_submit`].
 //! - While entries have different instance lists they may choose different upstreams for a suspect;
 //!   then each concurrent copy may cost one more upstream.
--- a/crates/core/src/quarantine/registry.rs
+++ b/crates/core/src/quarantine/registry.rs
@@ -114,9 +114,9 @@
         Admission::Normal
     }
 
-    /// Decides at an agent about a submit that carries the `strikes` which the entry knows.
+    /// Decides at an agent about a submit that carries the `strikes` which the entry holds.
     ///
-    /// Returns `None` if the agent knows strikes and the entry sent none. The entry then treated
+    /// Returns `None` if the agent holds strikes and the entry sent none. The entry then treated
     /// the request as normal and may have chosen any upstream, so the agent refuses the submit as
     /// not run, and the entry chooses again once it has received the strikes.
     pub fn admit_submit(
--- a/crates/core/src/queue/mod.rs
+++ b/crates/core/src/queue/mod.rs
@@ -203,7 +203,7 @@
         if let Some(reason) = self.rejection_reason(now_ms, &entry) {
             return Err(reason);
         }
-        let evicted = self.make_room(entry.customer)?;
+        let evicted = self.evict_if_full(entry.customer)?;
 
         let sequence = self.next_sequence;
         self.next_sequence += 1;
@@ -317,7 +317,7 @@
         entry.expiry_reason(now_ms)
     }
 
-    fn make_room(&mut self, customer: CustomerKey) -> Result<Option<Dropped>, Reason> {
+    fn evict_if_full(&mut self, customer: CustomerKey) -> Result<Option<Dropped>, Reason> {
         if self.queued < self.max_queued || self.is_unbounded() {
             return Ok(None);
         }
--- a/crates/core/src/retry_share/mod.rs
+++ b/crates/core/src/retry_share/mod.rs
@@ -1,6 +1,6 @@
 //! One entry's share of the retry budget of a service.
 //!
-//! The users limit the retries for each service and window to a fraction of the requests in the window
+//! The retries to each service in each window are limited to a fraction of the requests in the window
 //! plus a fixed number, for all entries together. Each entry may use that fraction of its own requests
 //! and its share of the fixed number, so that the sum stays within the limit without coordination.
 
--- a/crates/core/src/routing/pool.rs
+++ b/crates/core/src/routing/pool.rs
@@ -67,7 +67,7 @@
     },
     /// The upstream or its agent failed.
     Failed,
-    /// It was refused, cancelled or dropped before it ran, which is no evidence about the health.
+    /// It was refused, cancelled or dropped before it ran, which shows nothing about the health.
     NotRun,
 }
 
--- a/crates/core/src/sabotage.rs
+++ b/crates/core/src/sabotage.rs
@@ -15,7 +15,7 @@
     /// Chunks are released in the order of arrival instead of that of their sequence numbers.
     ChunkOrder,
     /// A response counts as complete once its completion is received, even if chunks are missing.
-    AnswerCompleteness,
+    ResponseCompleteness,
     /// A cancel leaves no tombstone.
     Tombstone,
     /// Tombstones are evicted before the dispatch limit of their attempt.
@@ -28,7 +28,7 @@
     UnknownAfterEviction,
     /// Every completed attempt adds to the retry budget, retries included.
     CreditOncePerStage,
-    /// A claim write whose answer was lost counts as successful.
+    /// A claim write whose response was lost counts as successful.
     ReadBack,
     /// A claim found on read-back counts as the caller's own, without comparing the token.
     TokenComparison,
@@ -39,9 +39,9 @@
     /// A claim in progress that another call holds is reported as not run.
     ForeignClaimUnknown,
     /// A request that is abandoned while the state of its claim is unknown is reported as not run.
-    UnsettledClaimUnknown,
-    /// A claim is not released after the refusal if the answer to its write was lost.
-    ReleaseUnsettled,
+    UnconfirmedClaimUnknown,
+    /// A claim is not released after the refusal if the response to its write was lost.
+    ReleaseUnconfirmed,
     /// A report about an earlier dispatch is applied to the current one.
     DispatchNumber,
     /// The expiry of the dispatch permission is ignored.
@@ -50,7 +50,7 @@
     QuarantineOnlyAlone,
     /// A request with strikes is admitted like any other instead of running alone.
     RunSuspectsAlone,
-    /// An agent accepts a request with strikes from an entry that did not know of them.
+    /// An agent accepts a request with strikes from an entry that sent none.
     RefuseOutdatedSubmit,
     /// Strikes received from peers are ignored.
     MergeStrikes,
--- a/crates/core/src/stage_graph/mod.rs
+++ b/crates/core/src/stage_graph/mod.rs
@@ -2,7 +2,8 @@
 
 use crate::route_table::StageSpec;
 
-/// Handle of a result, which identifies the upstream that made it; only the platform interprets it.
+/// Handle of a result, which identifies the upstream that stores it; only the platform interprets
+/// it.
 pub type ResultHandle = String;
 
 /// State of one stage of one request.
@@ -10,18 +11,18 @@
 enum StageState {
     /// Waits for the stages that it depends on.
     Blocked,
-    /// Its pieces are being made.
+    /// Its pieces are waiting or running.
     Running,
     /// All of its results exist, in the order of the pieces.
     Done(Vec<ResultHandle>),
 }
 
-/// A stage whose pieces can be made now.
+/// A stage whose pieces can run now.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ReadyStage {
     /// Position of the stage in the request's route.
     pub stage: usize,
-    /// Number of pieces to make.
+    /// Number of pieces to run.
     pub pieces: usize,
     /// Results that every piece reads; none for a stage that reads the request's own data instead.
     pub inputs: Option<Vec<ResultHandle>>,
--- a/crates/core/tests/agent_fuzz/main.rs
+++ b/crates/core/tests/agent_fuzz/main.rs
@@ -1,4 +1,4 @@
-//! Fuzzes the agent's state machine against an oracle that knows only the guarantees for one
+//! Fuzzes the agent's state machine against an oracle that checks only the guarantees for one
 //! upstream.
 
 #[path = "../harness/mod.rs"]
@@ -360,9 +360,9 @@
     type Mechanism = Sabotage;
     type Step = Event;
 
-    fn new(off: Option<Sabotage>) -> Self {
+    fn new(disabled: Option<Sabotage>) -> Self {
         let mut sut = Self::start();
-        harness::sabotage!(sut.core, off);
+        harness::sabotage!(sut.core, disabled);
         sut
     }
 
--- a/crates/core/tests/at_most_once_fuzz.rs
+++ b/crates/core/tests/at_most_once_fuzz.rs
@@ -411,12 +411,12 @@
         Sabotage::ConditionalUpdate,
         Sabotage::ReleaseOnlyConfirmed,
         Sabotage::ForeignClaimUnknown,
-        Sabotage::UnsettledClaimUnknown,
+        Sabotage::UnconfirmedClaimUnknown,
         Sabotage::DispatchNumber,
         Sabotage::DispatchPermission,
     ] {
         fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage), false));
     }
-    let sabotage = Sabotage::ReleaseUnsettled;
+    let sabotage = Sabotage::ReleaseUnconfirmed;
     fuzz_support::assert_detected(sabotage, fuzz(Some(sabotage), true));
 }
--- a/crates/core/tests/attempt_fuzz.rs
+++ b/crates/core/tests/attempt_fuzz.rs
@@ -177,11 +177,11 @@
 
     fn submit(&mut self, attempt: usize, limit_in_ms: u64) -> Result<(), String> {
         let is_new = self.observed[attempt].dispatch_by_ms.is_none();
-        let has_room = self.ledger.len() < LIMITS.max_records;
+        let has_capacity = self.ledger.len() < LIMITS.max_records;
         let limit_ms = self.limit_ms(attempt, limit_in_ms);
         let result = self.ledger.submit(id(attempt), limit_ms, self.now_ms);
         let is_queued = matches!(result, SubmitResult::Queued(_));
-        if is_new && has_room && limit_in_ms <= LIMITS.dispatch_window_ms && !is_queued {
+        if is_new && has_capacity && limit_in_ms <= LIMITS.dispatch_window_ms && !is_queued {
             return Err(format!("new attempt {attempt} was not queued: {result:?}"));
         }
         match result {
--- a/crates/core/tests/attempt_output_fuzz.rs
+++ b/crates/core/tests/attempt_output_fuzz.rs
@@ -214,7 +214,8 @@
 #[cfg(feature = "sabotage")]
 #[test]
 fn each_disabled_mechanism_is_detected() {
-    for sabotage in [Sabotage::ResultMatching, Sabotage::ChunkOrder, Sabotage::AnswerCompleteness] {
+    for sabotage in [Sabotage::ResultMatching, Sabotage::ChunkOrder, Sabotage::ResponseCompleteness]
+    {
         fuzz_support::assert_detected(sabotage, fuzz_pages(Some(sabotage)));
     }
     let sabotage = Sabotage::CreditOncePerStage;
--- a/crates/core/tests/capacity_fuzz.rs
+++ b/crates/core/tests/capacity_fuzz.rs
@@ -256,7 +256,7 @@
     let mechanisms = [
         Sabotage::IgnoreBootId,
         Sabotage::IgnoreReset,
-        Sabotage::AcceptStaleEvidence,
+        Sabotage::IgnoreEpoch,
         Sabotage::StartWarm,
         Sabotage::NoSlowStart,
     ];
--- a/crates/core/tests/control_fuzz/main.rs
+++ b/crates/core/tests/control_fuzz/main.rs
@@ -1,6 +1,6 @@
 //! Fuzzes the propagation of control state and the acceptance of changes.
 //!
-//! The oracle knows only the writes that took effect on the platform. It checks that versions at a
+//! The oracle records only the writes that took effect on the platform. It checks that versions at a
 //! process never decrease, that every record in force was accepted, that an accepted change stays
 //! in the history and a refused one never enters it, and that connected processes converge.
 
--- a/crates/core/tests/control_fuzz/object.rs
+++ b/crates/core/tests/control_fuzz/object.rs
@@ -19,7 +19,7 @@
 /// A platform object and the flows that change it.
 pub(crate) struct Object<T> {
     pub(crate) stored: Option<(u64, Stored<T>)>,
-    /// Writes whose answer was lost and that may take effect later, with their conditions.
+    /// Writes whose response was lost and that may take effect later, with their conditions.
     delayed: Vec<(Option<u64>, Stored<T>)>,
     /// Every change that took effect, oldest first.
     pub(crate) log: Vec<HistoryEntry>,
@@ -68,7 +68,7 @@
         true
     }
 
-    /// Applies a delayed write whose answer was lost.
+    /// Applies a delayed write whose response was lost.
     pub(crate) fn apply_delayed(&mut self, index: usize) {
         if index < self.delayed.len() {
             let (if_revision, stored) = self.delayed.remove(index);
--- a/crates/core/tests/document_fuzz.rs
+++ b/crates/core/tests/document_fuzz.rs
@@ -1,6 +1,6 @@
 //! Fuzzes the parser of environment documents.
 //!
-//! The oracle generates the text itself and so knows the path and line of every fault in it.
+//! The oracle generates the text itself, together with the path and line of every fault in it.
 
 mod harness;
 
--- a/crates/core/tests/drain_fuzz/main.rs
+++ b/crates/core/tests/drain_fuzz/main.rs
@@ -1,6 +1,6 @@
 //! Fuzzes the refusal of new work with paused processes, stale entries and platform outages.
 //!
-//! The oracle knows when a change was accepted and which routes were open for control state to
+//! The oracle records when a change was accepted and which routes were open for control state to
 //! reach an agent. Once both have lasted for the propagation bound, nothing may be dispatched at an
 //! upstream that is out of service.
 
--- a/crates/core/tests/drain_fuzz/simulation.rs
+++ b/crates/core/tests/drain_fuzz/simulation.rs
@@ -63,8 +63,8 @@
     out_since: Option<(u64, u64)>,
     /// Times since which each route from the platform has been open without interruption.
     route_since_ms: [Option<u64>; 2 * ENTRIES],
-    /// Times since which each entry has been connected and has known that the agent is out of
-    /// service.
+    /// Times since which each entry has been connected and has held the change that takes the agent
+    /// out of service.
     neighbour_since_ms: [Option<u64>; ENTRIES],
 }
 
@@ -224,8 +224,9 @@
                 let indirect = &mut agent.route_since_ms[ENTRIES + index];
                 track(indirect, is_linked && via_other, self.now_ms);
                 let held_version = entry.control.versions().operations;
-                let knows = agent.out_since.is_some_and(|(_, version)| held_version >= version);
-                track(&mut agent.neighbour_since_ms[index], is_linked && knows, self.now_ms);
+                let is_informed =
+                    agent.out_since.is_some_and(|(_, version)| held_version >= version);
+                track(&mut agent.neighbour_since_ms[index], is_linked && is_informed, self.now_ms);
             }
         }
     }
@@ -364,11 +365,11 @@
             let out_since_ms = self.out_since.map(|(since_ms, _)| since_ms);
             let is_late = has_lasted(&out_since_ms, PROPAGATION_BOUND_MS);
             assert!(!(has_route && is_late), "work is dispatched after the propagation bound");
-            let knows = |it| has_lasted(it, NEIGHBOUR_BOUND_MS);
-            let is_known_to_neighbour = self.neighbour_since_ms.iter().any(knows);
+            let exceeds_bound = |it| has_lasted(it, NEIGHBOUR_BOUND_MS);
+            let is_neighbour_informed = self.neighbour_since_ms.iter().any(exceeds_bound);
             assert!(
-                !is_known_to_neighbour,
-                "work is dispatched although a connected entry knows that the agent is out"
+                !is_neighbour_informed,
+                "work is dispatched at an agent that a connected entry holds as out of service"
             );
             self.queued -= 1;
             self.running += 1;
@@ -386,7 +387,7 @@
         self.listed.1 == InstanceState::Live && self.shutdown.is_ready()
     }
 
-    /// Numbers of queued and of running calls.
+    /// Returns the numbers of queued and of running calls.
     pub(crate) fn load(&self) -> (u32, u32) {
         (self.queued, self.running)
     }
--- a/crates/core/tests/stage_load.rs
+++ b/crates/core/tests/stage_load.rs
@@ -14,15 +14,15 @@
 const DATA_CENTRES: [&str; 5] = ["x", "x", "y", "y", "z"];
 /// Number of requests in a run.
 const REQUESTS: u64 = 400;
-/// Interval between arrivals under normal load, in milliseconds; the users' sheets state about 36 a
-/// second.
+/// Interval between arrivals under normal load, in milliseconds: about 36 requests a second, the
+/// expected rate.
 const NORMAL_ARRIVAL_MS: u64 = 28;
 /// Interval between arrivals in a burst that overloads the upstreams, in milliseconds: more than twice
 /// the normal rate.
 const BURST_ARRIVAL_MS: u64 = 12;
 /// Time within which the stages of a request finish on time, in milliseconds.
 const TARGET_MS: u64 = 2_000;
-/// Pieces of each of the two stages and bytes of one result, as on the users' sheets.
+/// Pieces of each of the two stages and bytes of one result, as in the expected workload.
 const PIECES: [usize; 2] = [6, 10];
 const RESULT_BYTES: [u64; 2] = [60_000, 6_000];
 
