--- a/crates/agent/src/executor.rs
+++ b/crates/agent/src/executor.rs
@@ -34,7 +34,6 @@
 const CRASH_DETECTION_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Interval between probes after a lost response.
 const CRASH_PROBE_INTERVAL: Duration = Duration::from_millis(5);
-
 /// Time for which further output is collected before a reply, so that fast streams need few calls.
 const COALESCE_TIME: Duration = Duration::from_millis(20);
 
--- a/crates/agent/src/listed.rs
+++ b/crates/agent/src/listed.rs
@@ -28,9 +28,9 @@
         if !is_leaving {
             return self.tick(now_ms);
         }
-        let is_new = self.leaving_until_ms.is_none();
+        let has_changed = self.leaving_until_ms.is_none();
         self.leaving_until_ms = Some(now_ms.saturating_add(LEAVING_TTL_MS));
-        is_new.then(|| self.change(InstanceState::Leaving))
+        has_changed.then(|| self.change(InstanceState::Leaving))
     }
 
     /// Expires old reports; returns the new version and state if the state has changed.
--- a/crates/agent/src/upstream.rs
+++ b/crates/agent/src/upstream.rs
@@ -32,9 +32,9 @@
 
 use self::connect::BootConnector;
 
-/// Time-out for opening a connection.
+/// Timeout for opening a connection.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time after which a probe counts as not answered.
+/// Timeout of a probe.
 const PROBE_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Time after which an idle connection is closed.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(30);
--- a/crates/entry/src/caller/routes.rs
+++ b/crates/entry/src/caller/routes.rs
@@ -120,8 +120,8 @@
     }
     let result = pipeline::run(entry, &document, &pipeline, &context, &input, None).await;
     record_outcome(entry, &context, result.as_ref().err());
-    let response = result.map_err(Problem::refused)?;
-    Ok(response::json(&response::pipeline_json(context.id, &pipeline, &response)))
+    let output = result.map_err(Problem::refused)?;
+    Ok(response::json(&response::pipeline_json(context.id, &pipeline, &output)))
 }
 
 fn stream_pipeline(
@@ -144,8 +144,8 @@
         drop(caller_disconnected);
         record_outcome(&entry, &context, result.as_ref().err());
         let event = match result {
-            Ok(response) => {
-                LastEvent::Completed(response::pipeline_json(context.id, &pipeline, &response))
+            Ok(output) => {
+                LastEvent::Completed(response::pipeline_json(context.id, &pipeline, &output))
             }
             Err(refusal) => LastEvent::Failed(Problem::refused(refusal).to_json(context.id)),
         };
--- a/crates/entry/src/link.rs
+++ b/crates/entry/src/link.rs
@@ -202,8 +202,8 @@
                 true => follow_up.agent_versions,
                 false => self.fleet.control.versions(),
             };
-            let Some(reply) = self.sync(client, known_versions).await else { return };
-            follow_up = reply;
+            let Some(requested) = self.sync(client, known_versions).await else { return };
+            follow_up = requested;
             // An agent that refuses the state must not be sent it again without a pause.
             sync_at_once = follow_up.again && !sync_at_once;
             if sync_at_once {
--- a/crates/entry/src/relay/crashes.rs
+++ b/crates/entry/src/relay/crashes.rs
@@ -31,36 +31,36 @@
 /// Crashes counted against requests; shared by all tasks of the relay.
 #[derive(Debug, Default)]
 pub(crate) struct RequestCrashes {
-    watch: Mutex<CrashTracker>,
+    tracker: Mutex<CrashTracker>,
 }
 
 impl RequestCrashes {
     /// Tells whether a request is refused because of the crashes counted against it.
     pub(crate) fn is_refused(&self, request: &CallerRequest, now_ms: u64) -> bool {
-        let watch = lock(&self.watch);
-        !watch.is_empty() && watch.is_refused(request_digest(request), now_ms)
+        let tracker = lock(&self.tracker);
+        !tracker.is_empty() && tracker.is_refused(request_digest(request), now_ms)
     }
 
     /// Records that an upstream completed a request.
     pub(crate) fn record_completed(&self, request: &CallerRequest, now_ms: u64) {
-        lock(&self.watch).on_complete(request_hash(request), || request_digest(request), now_ms);
+        lock(&self.tracker).on_complete(request_hash(request), || request_digest(request), now_ms);
     }
 
     /// Returns the recent strikes, to share with other entries.
     pub(crate) fn recent(&self, now_ms: u64) -> Vec<Strike> {
-        lock(&self.watch).recent_strikes(now_ms)
+        lock(&self.tracker).recent_strikes(now_ms)
     }
 
     /// Merges strikes that another entry shared.
     pub(crate) fn merge(&self, strikes: &[Strike], now_ms: u64) {
         if !strikes.is_empty() {
-            lock(&self.watch).merge(strikes, now_ms);
+            lock(&self.tracker).merge(strikes, now_ms);
         }
     }
 
     /// Drops strikes that no longer count.
     pub(crate) fn expire(&self, now_ms: u64) {
-        lock(&self.watch).expire(now_ms);
+        lock(&self.tracker).expire(now_ms);
     }
 }
 
@@ -78,7 +78,7 @@
         }
         let now_ms = relay.now_ms();
         let incarnation = incarnation_of(&upstream);
-        let counts = lock(&relay.crashes.watch).on_crash(
+        let counts = lock(&relay.crashes.tracker).on_crash(
             incarnation,
             request_digest(&request),
             request_hash(&request),
@@ -99,7 +99,7 @@
     }
 }
 
-/// Returns an identifier for the run of an upstream that is the same at all entries.
+/// Returns the identifier of one run of an upstream, which is the same at all entries.
 fn incarnation_of(upstream: &UpstreamRecord) -> Incarnation {
     let mut hasher = FxHasher::default();
     (&upstream.id, upstream.started_unix_ms).hash(&mut hasher);
--- a/crates/entry/src/relay/feed.rs
+++ b/crates/entry/src/relay/feed.rs
@@ -27,10 +27,10 @@
     pub(crate) fn start(
         relay: &Relay,
         client: Client,
-        form: PollProtocol<T>,
+        protocol: PollProtocol<T>,
         stop: &CancellationToken,
     ) -> Self {
-        let (poller, updates) = Poller::start(client, form, PollerSettings::default(), stop);
+        let (poller, updates) = Poller::start(client, protocol, PollerSettings::default(), stop);
         Self { poller, updates, relist_signal: relay.relist_signal() }
     }
 
@@ -64,11 +64,11 @@
 ) {
     let mut feed = Feed::start(&relay, client, configuration_form(), &stop);
     while let Some(update) = feed.next().await {
-        let is_whole = matches!(update, PollUpdate::Snapshot { .. });
+        let is_snapshot = matches!(update, PollUpdate::Snapshot { .. });
         for change in changes_of(update) {
             apply_configuration(&relay, change);
         }
-        if is_whole {
+        if is_snapshot {
             relay.mark_fresh(PlatformData::Configuration);
         }
     }
--- a/crates/entry/src/relay/mod.rs
+++ b/crates/entry/src/relay/mod.rs
@@ -49,12 +49,12 @@
 const READINESS_GRACE_MS: u64 = 2_600;
 /// Time before the kill at which a graceful shutdown stops waiting for requests in progress, in
 /// milliseconds.
-const STOP_MARGIN_MS: u64 = 400;
+const SHUTDOWN_MARGIN_MS: u64 = 400;
 /// Time before the end of a graceful shutdown at which requests that no upstream has received are
 /// refused, in milliseconds; a busy entry needs part of it to send all the refusals.
 const REFUSAL_MARGIN_MS: u64 = 300;
 /// Interval at which a stopping relay checks for requests in progress, in milliseconds.
-const STOP_POLL_MS: u64 = 50;
+const SHUTDOWN_POLL_MS: u64 = 50;
 /// Timeout of one call to the platform's object store, in milliseconds; a slow store takes 240.
 const STORE_TIMEOUT_MS: u64 = 1_000;
 
@@ -107,7 +107,7 @@
     let serving = tokio::spawn(serve_callers(callers, relay.clone(), closing.clone()));
     signal.cancelled().await;
     registering.abort();
-    stop(&relay, &closing).await;
+    shut_down(&relay, &closing).await;
     // Until its record is removed, other entries leave their work in progress here, and count this
     // entry when they share the limit on calls to cold upstreams.
     peers::unregister(&relay, &client).await;
@@ -118,11 +118,11 @@
 }
 
 /// Reports not ready, waits for the requests in progress and closes the connections.
-async fn stop(relay: &Arc<Relay>, closing: &CancellationToken) {
+async fn shut_down(relay: &Arc<Relay>, closing: &CancellationToken) {
     info!(in_progress = relay.in_progress(); "graceful shutdown begins");
-    relay.begin_stop();
+    relay.begin_shutdown();
     let begun_ms = relay.now_ms();
-    let limit_ms = relay.settings.bounds.grace_period_ms.saturating_sub(STOP_MARGIN_MS);
+    let limit_ms = relay.settings.bounds.grace_period_ms.saturating_sub(SHUTDOWN_MARGIN_MS);
     let waiting_ms = limit_ms.saturating_sub(REFUSAL_MARGIN_MS);
     tokio::time::sleep(Duration::from_millis(READINESS_GRACE_MS.min(waiting_ms))).await;
     closing.cancel();
@@ -138,10 +138,10 @@
             warn!(cut = relay.in_progress(); "time limit of the graceful shutdown reached, requests are aborted");
             return;
         }
-        tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
+        tokio::time::sleep(Duration::from_millis(SHUTDOWN_POLL_MS)).await;
     }
     // The last responses may not have been written to the callers' sockets yet.
-    tokio::time::sleep(Duration::from_millis(STOP_POLL_MS)).await;
+    tokio::time::sleep(Duration::from_millis(SHUTDOWN_POLL_MS)).await;
 }
 
 /// Periodically drops expired work and state, and sends pending releases.
--- a/crates/entry/src/relay/peers.rs
+++ b/crates/entry/src/relay/peers.rs
@@ -166,7 +166,7 @@
         directory.polled_for = None;
         let entry = KnownEntry { record, polling: None, peer: None, queues: FastMap::default() };
         if let Some(replaced) = directory.known.insert(name.to_owned(), entry) {
-            // The entry has restarted; calls to its previous run get no response.
+            // The entry has restarted; calls to the previous process get no response.
             if let Some(peer) = &replaced.peer {
                 peer.lost.cancel();
             }
@@ -228,11 +228,11 @@
 impl Directory {
     /// Records the observed state of an entry; returns whether it has changed.
     fn set_state(&mut self, name: &str, state: PeerState) -> bool {
-        let is_new = self.view.set_state(name, state);
-        if is_new {
+        let has_changed = self.view.set_state(name, state);
+        if has_changed {
             self.polled_for = None;
         }
-        is_new
+        has_changed
     }
 }
 
--- a/crates/entry/src/relay/peers/hello.rs
+++ b/crates/entry/src/relay/peers/hello.rs
@@ -21,7 +21,7 @@
 };
 
 /// Timeout of a hello, after which the entry counts as lost, in milliseconds; an entry short of CPU
-/// time responds within a hundred.
+/// time responds within 100 ms.
 const HELLO_TIMEOUT_MS: u64 = 700;
 /// Delay before reconnecting, in milliseconds.
 const RECONNECT_MS: u64 = 300;
--- a/crates/entry/src/relay/plain.rs
+++ b/crates/entry/src/relay/plain.rs
@@ -1,4 +1,4 @@
-//! Requests of non-streaming routes, which an upstream answers with a single body.
+//! Requests of non-streaming routes, to which an upstream responds with a single body.
 
 use std::{sync::Arc, time::Duration};
 
@@ -33,7 +33,7 @@
 /// Result of an attempt that got a response.
 enum TryOutcome {
     /// A response to forward.
-    Answer(Response<ResponseBody>),
+    Response(Response<ResponseBody>),
     /// A server error of the upstream, forwarded if no later attempt gets a better response.
     Failure(Response<ResponseBody>),
     /// The upstream states that it did not run the call.
@@ -69,7 +69,7 @@
                 attempt.finish(&meta);
                 reached += 1;
                 match result {
-                    TryOutcome::Answer(response) => {
+                    TryOutcome::Response(response) => {
                         relay.crashes.record_completed(request, relay.now_ms());
                         return Ok(response);
                     }
@@ -174,7 +174,7 @@
     let outcome = if parts.status.is_server_error() {
         TryOutcome::Failure(response)
     } else {
-        TryOutcome::Answer(response)
+        TryOutcome::Response(response)
     };
     let took_ms = relay.now_ms().saturating_sub(request.arrived_ms);
     info!(
@@ -183,7 +183,7 @@
         upstream:% = attempt.record.id,
         status = parts.status.as_u16(),
         took_ms = took_ms;
-        "upstream answered"
+        "upstream responded"
     );
     Ok((outcome, meta))
 }
--- a/crates/entry/src/relay/platform_check.rs
+++ b/crates/entry/src/relay/platform_check.rs
@@ -16,14 +16,14 @@
 pub(crate) async fn check(relay: Arc<Relay>, client: Client, stop: CancellationToken) {
     let name = &relay.settings.name;
     let path = entry_stale_read_path(name);
-    let mut suspicion = PollWatchdog::default();
+    let mut watchdog = PollWatchdog::default();
     while !stop.is_cancelled() {
         let failure = match client.read(CallKind::Read, name, &path, 0).await {
             Err(error @ PlatformError::Unavailable { .. }) => Some(error),
             // Any response counts, whatever it says about the record.
             Ok(_) | Err(_) => None,
         };
-        let outcome = suspicion.on_check(failure.is_none(), relay.now_ms());
+        let outcome = watchdog.on_check(failure.is_none(), relay.now_ms());
         relay.set_platform_unresponsive(failure.is_some());
         if outcome.cancels_polls {
             match failure {
--- a/crates/entry/src/relay/server.rs
+++ b/crates/entry/src/relay/server.rs
@@ -34,8 +34,8 @@
         let limits = relay.table().map(|it| it.limits()).unwrap_or_default();
         let relay = relay.clone();
         let service = service_fn(move |request| {
-            let answer = handle_request(relay.clone(), request);
-            async move { Ok::<_, Infallible>(answer.await) }
+            let response = handle_request(relay.clone(), request);
+            async move { Ok::<_, Infallible>(response.await) }
         });
         let mut builder = http1::Builder::new();
         builder
--- a/crates/entry/src/relay/stages.rs
+++ b/crates/entry/src/relay/stages.rs
@@ -22,7 +22,6 @@
     route_table::StageService,
     stage_graph::ResultHandle,
 };
-
 use yuccatrail_rpc::entries::{QueueState, StageRequest};
 
 use crate::relay::{
@@ -36,10 +35,9 @@
 const CALL_TIMEOUT_FACTOR: u64 = 6;
 /// Minimum timeout of a call, in milliseconds; a call queued behind two others takes a second.
 const MIN_CALL_TIMEOUT_MS: u64 = 2_000;
-
 /// Time after which an upstream has read the inputs of a call, in milliseconds: the transfer of a
-/// few megabytes takes one, the latency to another data centre a few, a lost packet up to a
-/// hundred.
+/// few megabytes takes 1 ms, the latency to another data centre a few, a lost packet up to
+/// 100 ms.
 const INPUT_READ_MS: u64 = 120;
 /// Number of owners to try for the work of one stage before this entry takes it on itself.
 const MAX_OWNER_TRIES: usize = 3;
@@ -435,7 +433,7 @@
         return CallResult::Full;
     };
     let (status, meta, body) = match attempt.post(STAGE_PATH, body).await {
-        Ok(answered) => answered,
+        Ok(response) => response,
         Err(error) => {
             log_failure(&attempt, &error);
             attempt.fail();
--- a/crates/entry/src/relay/state.rs
+++ b/crates/entry/src/relay/state.rs
@@ -210,7 +210,7 @@
     }
 
     /// Begins a graceful shutdown, which makes the relay report not ready.
-    pub(crate) fn begin_stop(&self) {
+    pub(crate) fn begin_shutdown(&self) {
         self.is_stopping.store(true, Ordering::Relaxed);
     }
 
--- a/crates/entry/src/serve.rs
+++ b/crates/entry/src/serve.rs
@@ -19,7 +19,7 @@
 /// Interval of the housekeeping task; the decay of estimates relies on one second.
 const HOUSEKEEPING_INTERVAL: Duration = Duration::from_secs(1);
 /// Interval at which a stopping entry checks for work in progress.
-const STOP_POLL_INTERVAL: Duration = Duration::from_millis(20);
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(20);
 
 /// Serves callers until a graceful shutdown has finished.
 pub(crate) async fn run(settings: Settings) -> ExitCode {
@@ -130,11 +130,11 @@
             }
             break;
         }
-        tokio::time::sleep(STOP_POLL_INTERVAL).await;
+        tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
     }
     let claims_closed = async {
         while entry.open_claims() > 0 {
-            tokio::time::sleep(STOP_POLL_INTERVAL).await;
+            tokio::time::sleep(SHUTDOWN_POLL_INTERVAL).await;
         }
     };
     if tokio::time::timeout(CLAIM_TIMEOUT, claims_closed).await.is_err() {
--- a/crates/platform/src/client.rs
+++ b/crates/platform/src/client.rs
@@ -27,13 +27,13 @@
 /// Time after which an idle connection is closed, in milliseconds.
 const POOL_IDLE_TIMEOUT_MS: u64 = 30_000;
 
-/// Idle time after which TCP keep-alive probes a connection, and interval between probes, in
+/// Idle time after which TCP keepalive probes a connection, and interval between probes, in
 /// seconds.
 ///
 /// A long poll may wait for a long time, so a dead connection has to be detected by TCP.
 const KEEPALIVE_S: u64 = 1;
 
-/// Unacknowledged TCP keep-alive probes after which a connection is closed.
+/// Unacknowledged TCP keepalive probes after which a connection is closed.
 const KEEPALIVE_PROBES: u32 = 1;
 
 /// Client of the platform's object API; clones share the connections and the call budget.
@@ -294,7 +294,7 @@
     }
 
     /// Waits until the call budget allows the call, then for its result within the request
-    /// time-out.
+    /// timeout.
     async fn within_timeout<V>(
         &self,
         context: &CallContext,
--- a/crates/platform/src/poll.rs
+++ b/crates/platform/src/poll.rs
@@ -84,7 +84,7 @@
     fn default() -> Self {
         Self {
             backoff: BackoffSettings { first_ms: 50, max_ms: 400 },
-            // Each poll is billed, so polls are long; TCP keep-alive detects dead connections.
+            // Each poll is billed, so polls are long; TCP keepalive detects dead connections.
             wait_ms: 20_000,
             // An eighth of the two seconds within which a change has to take effect.
             coalesce_ms: 250,
--- a/crates/platform/src/response.rs
+++ b/crates/platform/src/response.rs
@@ -55,7 +55,7 @@
     }
 
     pub(crate) fn timed_out(&self) -> PlatformError {
-        self.response_lost("no response within the time-out".to_owned())
+        self.response_lost("no response within the timeout".to_owned())
     }
 
     /// Returns the error for a failure of the HTTP client.
--- a/crates/platform/src/settings.rs
+++ b/crates/platform/src/settings.rs
@@ -9,9 +9,9 @@
     pub address: SocketAddr,
     /// Environment whose objects are read and written; used as the namespace in all paths.
     pub environment: String,
-    /// Time-out of one call, from the first byte sent to the last byte read, in milliseconds.
+    /// Timeout of one call, from the first byte sent to the last byte read, in milliseconds.
     pub request_timeout_ms: u64,
-    /// Time-out for opening a connection, in milliseconds.
+    /// Timeout for opening a connection, in milliseconds.
     pub connect_timeout_ms: u64,
     /// Time after which the platform should end a watch, in seconds.
     pub watch_timeout_s: u64,
--- a/crates/platform/src/watch.rs
+++ b/crates/platform/src/watch.rs
@@ -84,7 +84,7 @@
     /// # Errors
     ///
     /// Returns `Gone` when the platform no longer has the changes, `Unavailable` when the stream
-    /// breaks or has not ended by its time-out, and `Invalid` when a line does not conform to the
+    /// breaks or has not ended by its timeout, and `Invalid` when a line does not conform to the
     /// API.
     pub async fn next(&mut self) -> Result<Option<WatchEvent<T>>, PlatformError> {
         let line = match tokio::time::timeout_at(self.deadline, self.lines.next()).await {
--- a/crates/rpc/src/entries.rs
+++ b/crates/rpc/src/entries.rs
@@ -31,7 +31,7 @@
     /// Revisions of the platform's lists; `None` unless the entry currently receives the platform's
     /// updates.
     pub list_revisions: Option<ListRevisions>,
-    /// Queues of the stage services that the entry owns.
+    /// State of the queues of all stage services at this entry, also of those that it does not own.
     pub queues: Vec<QueueState>,
     /// Strikes against requests during which an upstream crashed.
     pub strikes: Vec<Strike>,
--- a/crates/rpc/src/lib.rs
+++ b/crates/rpc/src/lib.rs
@@ -1,4 +1,4 @@
-//! RPC between entries and agents: tarpc services whose messages are CBOR in WebSocket frames.
+//! RPC among entries and agents: tarpc services whose messages are CBOR in WebSocket frames.
 
 pub mod entries;
 pub mod messages;
--- a/crates/rpc/src/messages.rs
+++ b/crates/rpc/src/messages.rs
@@ -1,4 +1,4 @@
-//! Requests and replies between entries and agents.
+//! Requests and replies among entries and agents.
 
 use bytes::Bytes;
 use serde::{Deserialize, Serialize};
@@ -100,10 +100,10 @@
     pub pool: String,
     /// Customer on whose behalf the call is made.
     pub customer: String,
-    /// Digest of the customer, target and body of the request.
+    /// Digest of the customer, method, target and body of the request.
     pub fingerprint: Digest,
     /// Strikes against the request that the entry knows of; if there are any, the request has to
-    /// run alone.
+    /// run exclusively.
     pub strikes: Vec<Strike>,
     /// Whether the call is idempotent, so that it may be aborted when the attempt is cancelled.
     pub idempotent: bool,
