--- a/crates/entry/src/relay/feed.rs
+++ b/crates/entry/src/relay/feed.rs
@@ -5,7 +5,9 @@
 use log::{info, warn};
 use tokio::sync::{mpsc, watch};
 use tokio_util::sync::CancellationToken;
-use yuccatrail_adapter::{StoreChange, configuration_form, evacuations_form, servers_form};
+use yuccatrail_adapter::{
+    StoreChange, configuration_protocol, evacuations_protocol, servers_protocol,
+};
 use yuccatrail_core::{
     freshness::PlatformData,
     route_table::{Configuration, RouteTable},
@@ -62,7 +64,7 @@
     client: Client,
     stop: CancellationToken,
 ) {
-    let mut feed = Feed::start(&relay, client, configuration_form(), &stop);
+    let mut feed = Feed::start(&relay, client, configuration_protocol(), &stop);
     while let Some(update) = feed.next().await {
         let is_snapshot = matches!(update, PollUpdate::Snapshot { .. });
         for change in changes_of(update) {
@@ -91,7 +93,7 @@
 
 /// Follows the list of evacuated data centres, which receive no requests.
 pub(crate) async fn follow_evacuations(relay: Arc<Relay>, client: Client, stop: CancellationToken) {
-    let mut feed = Feed::start(&relay, client, evacuations_form(), &stop);
+    let mut feed = Feed::start(&relay, client, evacuations_protocol(), &stop);
     while let Some(update) = feed.next().await {
         let now_ms = relay.now_ms();
         match update {
@@ -135,7 +137,7 @@
 
 /// Follows the list of upstreams.
 pub(crate) async fn follow_upstreams(relay: Arc<Relay>, client: Client, stop: CancellationToken) {
-    let mut feed = Feed::start(&relay, client, servers_form(), &stop);
+    let mut feed = Feed::start(&relay, client, servers_protocol(), &stop);
     while let Some(update) = feed.next().await {
         let now_ms = relay.now_ms();
         match update {
--- a/crates/entry/src/relay/peers/record.rs
+++ b/crates/entry/src/relay/peers/record.rs
@@ -6,7 +6,7 @@
 use log::{info, warn};
 use tokio_util::sync::CancellationToken;
 use yuccatrail_adapter::{
-    EntryRecord, StoreChange, encode_entry, entries_form, entry_collection_path, entry_path,
+    EntryRecord, StoreChange, encode_entry, entries_protocol, entry_collection_path, entry_path,
 };
 use yuccatrail_core::FastSet;
 use yuccatrail_platform::{Client, PlatformError, PollUpdate};
@@ -21,7 +21,7 @@
 
 /// Follows the list of entries.
 pub(crate) async fn follow_entries(relay: Arc<Relay>, client: Client, stop: CancellationToken) {
-    let mut feed = Feed::start(&relay, client, entries_form(), &stop);
+    let mut feed = Feed::start(&relay, client, entries_protocol(), &stop);
     while let Some(update) = feed.next().await {
         match update {
             PollUpdate::Snapshot { items, .. } => {
