--- a/crates/entry/src/run/stage.rs
+++ b/crates/entry/src/run/stage.rs
@@ -58,7 +58,8 @@
     next_attempt_number: u16,
     started_ms: u64,
     estimate_ms: u64,
-    /// Whether the call must not serve as a probe of an ejected or cold upstream.
+    /// Whether the call must not serve as a probe of an ejected or cold upstream, because it cannot
+    /// be retried.
     no_probe: bool,
 }
 
