--- a/crates/agent/src/executor.rs
+++ b/crates/agent/src/executor.rs
@@ -34,7 +34,6 @@
 const CRASH_DETECTION_TIMEOUT: Duration = Duration::from_millis(1000);
 /// Interval between probes after a lost response.
 const CRASH_PROBE_INTERVAL: Duration = Duration::from_millis(5);
-
 /// Time for which further output is collected before a reply, so that fast streams need few calls.
 const COALESCE_TIME: Duration = Duration::from_millis(20);
 
@@ -72,7 +71,8 @@
             return;
         }
         self.logged_cold = load.cold;
-        let (running, limit, doubts_probes) = (load.running, load.limit, self.core.doubts_probes());
+        let (running, limit, doubts_probes) =
+            (load.running, load.limit, self.core.distrusts_probes());
         info!(cold = load.cold, running = running, limit = limit, doubts_probes = doubts_probes; "upstream's cold state changed");
     }
 }
