--- a/crates/entry/src/fleet.rs
+++ b/crates/entry/src/fleet.rs
@@ -192,7 +192,7 @@
             if member.pool != pool || state.directory.check(key).is_err() {
                 continue;
             }
-            // The request could wait for long at an upstream that has stopped.
+            // The request could wait for long at an upstream that is down, whose limit is zero.
             if member.link.report().is_none_or(|it| it.feedback.load.limit == 0) {
                 continue;
             }
--- a/crates/entry/src/relay/peers.rs
+++ b/crates/entry/src/relay/peers.rs
@@ -195,7 +195,7 @@
         let (takes_work, follows_platform) = (reply.takes_work, reply.list_revisions.is_some());
         let state = PeerState::Alive { takes_work, follows_platform };
         if directory.set_state(name, state) {
-            info!(entry = name, takes_work, follows_platform; "entry heard");
+            info!(entry = name, takes_work, follows_platform; "entry responded");
         }
     }
 
