--- a/crates/fakes/tests/tap.rs
+++ b/crates/fakes/tests/counting_proxy.rs
@@ -1,4 +1,4 @@
-//! The forwarding port counts what passes.
+//! The counting proxy counts the bytes and packets that pass through it.
 
 use std::io;
 
@@ -26,13 +26,13 @@
 }
 
 #[test]
-fn headers_count_for_each_packet() {
+fn wire_bytes_include_a_header_for_each_packet() {
     let traffic = Traffic {
         inbound_bytes: 100,
         outbound_bytes: 3_000,
         inbound_messages: 1,
         outbound_messages: 1,
     };
-    // One packet with the question, three with the answer, one with its acknowledgement.
+    // One packet with the request, three with the response and one with its acknowledgement.
     assert_eq!(traffic.wire_bytes(), 3_100 + 5 * PACKET_HEADER_BYTES);
 }
